--- a/goldcreststair/components/catalogue/service.py
+++ b/goldcreststair/components/catalogue/service.py
@@ -63,11 +63,11 @@
             self._links.announce()
         return taken
 
-    def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
+    def replace_all(self, rows: Sequence[StoredRow], version: Version) -> None:
         """Take the newest version from the store's table."""
-        self.take_changes(rows)
+        self.apply_changes(rows)
 
-    def take_changes(self, rows: Sequence[StoredRow]) -> None:
+    def apply_changes(self, rows: Sequence[StoredRow]) -> None:
         """Take versions as the store brings them."""
         for row in rows:
             if row.key == self._row and not row.deleted:
@@ -93,7 +93,7 @@
         # a new connection tells them apart, and brings the version where the store answers.
         read = await self._core.adapter.store.async_read(RowRange(self._row.table))
         if not isinstance(read, Err):
-            self.take_changes(read.ok_value.rows)
+            self.apply_changes(read.ok_value.rows)
         if self._controller.read_document()[0] > version:
             return
         document = await self._async_ask(session, version)
--- a/goldcreststair/components/discovery/controller.py
+++ b/goldcreststair/components/discovery/controller.py
@@ -25,7 +25,7 @@
         self._away_since: Millis | None = None
         self._back_at: Millis | None = None
 
-    def note_contact(self, *, reached: bool) -> None:
+    def record_contact(self, *, reached: bool) -> None:
         """Note whether the store answered."""
         now = self._clock.now()
         if reached and self._away_since is not None:
@@ -33,7 +33,7 @@
         elif not reached and self._away_since is None:
             self._away_since = now
 
-    def take_all(self, entries: Iterable[UpstreamEntry]) -> None:
+    def replace_all(self, entries: Iterable[UpstreamEntry]) -> None:
         """Take every upstream in the store."""
         found = {entry.name: entry for entry in entries}
         for name in self._entries.keys() - found.keys():
--- a/goldcreststair/components/discovery/service.py
+++ b/goldcreststair/components/discovery/service.py
@@ -46,13 +46,13 @@
             await asyncio.gather(self._ticking, return_exceptions=True)
             self._ticking = None
 
-    def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
+    def replace_all(self, rows: Sequence[StoredRow], version: Version) -> None:
         """Take every entry."""
         entries = (self._decode(row) for row in rows)
-        self._controller.take_all(entry for entry in entries if entry is not None)
+        self._controller.replace_all(entry for entry in entries if entry is not None)
         self._publish()
 
-    def take_changes(self, rows: Sequence[StoredRow]) -> None:
+    def apply_changes(self, rows: Sequence[StoredRow]) -> None:
         """Take entries that changed."""
         for row in rows:
             entry = None if row.deleted else self._decode(row)
@@ -62,9 +62,9 @@
                 self._controller.remove(row.key.key)
         self._publish()
 
-    def note_contact(self, *, reached: bool) -> None:
+    def record_contact(self, *, reached: bool) -> None:
         """Note whether the store answered."""
-        self._controller.note_contact(reached=reached)
+        self._controller.record_contact(reached=reached)
         if reached:
             self._links.note_store()
 
--- a/goldcreststair/components/evacuation/controller.py
+++ b/goldcreststair/components/evacuation/controller.py
@@ -26,7 +26,7 @@
         """Return the evacuations in force."""
         return self._current
 
-    def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
+    def replace_all(self, rows: Sequence[StoredRow], version: Version) -> None:
         """Take every row of the operators' table as of a version of the store."""
         if version < self._current.version:
             return
@@ -35,7 +35,7 @@
         if data_centres != self._current.data_centres:
             self._current = Evacuations(version, data_centres)
 
-    def take_changes(self, rows: Sequence[StoredRow]) -> None:
+    def apply_changes(self, rows: Sequence[StoredRow]) -> None:
         """Take rows that changed, in order."""
         for row in rows:
             name = self._decode(row.key)
--- a/goldcreststair/components/evacuation/service.py
+++ b/goldcreststair/components/evacuation/service.py
@@ -36,14 +36,14 @@
     async def async_close(self) -> None:
         """Do nothing."""
 
-    def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
+    def replace_all(self, rows: Sequence[StoredRow], version: Version) -> None:
         """Take every row of the operators' table."""
-        self._controller.take_all(rows, version)
+        self._controller.replace_all(rows, version)
         self._publish(SOURCE_STORE)
 
-    def take_changes(self, rows: Sequence[StoredRow]) -> None:
+    def apply_changes(self, rows: Sequence[StoredRow]) -> None:
         """Take rows that changed."""
-        self._controller.take_changes(rows)
+        self._controller.apply_changes(rows)
         self._publish(SOURCE_STORE)
 
     def _contribute(self, beacon: Beacon) -> None:
--- a/goldcreststair/components/fleet/service.py
+++ b/goldcreststair/components/fleet/service.py
@@ -219,12 +219,12 @@
         """Note an answer of the store."""
         self._controller.note_store()
 
-    def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
+    def replace_all(self, rows: Sequence[StoredRow], version: Version) -> None:
         """Take every session in the store."""
         self._controller.take_rows(vm for row in rows if (vm := decode_session(row.value)))
         self.publish()
 
-    def take_changes(self, rows: Sequence[StoredRow]) -> None:
+    def apply_changes(self, rows: Sequence[StoredRow]) -> None:
         """Take sessions that came or went."""
         for row in rows:
             if row.deleted:
@@ -235,7 +235,7 @@
                 self._controller.add(vm)
         self.publish()
 
-    def note_contact(self, *, reached: bool) -> None:
+    def record_contact(self, *, reached: bool) -> None:
         """Note whether the store answered."""
         if reached:
             self._controller.note_store()
--- a/goldcreststair/components/jobs/sweeping.py
+++ b/goldcreststair/components/jobs/sweeping.py
@@ -88,17 +88,17 @@
             await asyncio.gather(self._task, return_exceptions=True)
             self._task = None
 
-    def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
+    def replace_all(self, rows: Sequence[StoredRow], version: Version) -> None:
         """Take it that ends of jobs may have been missed."""
         self._owner.doubt_all()
 
-    def take_changes(self, rows: Sequence[StoredRow]) -> None:
+    def apply_changes(self, rows: Sequence[StoredRow]) -> None:
         """Take jobs that their callers ended."""
         for row in rows:
             if not row.deleted:
                 self._owner.drop_ended(JobKey(row.key.part, row.key.key))
 
-    def note_contact(self, *, reached: bool) -> None:
+    def record_contact(self, *, reached: bool) -> None:
         """Note whether the store answered."""
         if reached:
             self._links.note_store()
--- a/goldcreststair/components/operator_rows/service.py
+++ b/goldcreststair/components/operator_rows/service.py
@@ -32,17 +32,17 @@
         """Tell a listener of all rows from now on; listeners are told in the order they were added."""
         self._listeners.append(listener)
 
-    def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
+    def replace_all(self, rows: Sequence[StoredRow], version: Version) -> None:
         """Take every row of the table as of a version of the store."""
         for listener in self._listeners:
-            listener.take_all(rows, version)
+            listener.replace_all(rows, version)
 
-    def take_changes(self, rows: Sequence[StoredRow]) -> None:
+    def apply_changes(self, rows: Sequence[StoredRow]) -> None:
         """Take rows that changed, in order."""
         for listener in self._listeners:
-            listener.take_changes(rows)
+            listener.apply_changes(rows)
 
-    def note_contact(self, *, reached: bool) -> None:
+    def record_contact(self, *, reached: bool) -> None:
         """Note whether the store answered."""
         if reached:
             self._links.note_store()
--- a/goldcreststair/store/feed.py
+++ b/goldcreststair/store/feed.py
@@ -28,20 +28,20 @@
 class RowListener(Protocol):
     """Takes the rows of a table."""
 
-    def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
+    def replace_all(self, rows: Sequence[StoredRow], version: Version) -> None:
         """Take every row of the table as of a version of the store.
 
         Of a feed that is not whole, take it that changes were missed.
         """
 
-    def take_changes(self, rows: Sequence[StoredRow]) -> None:
+    def apply_changes(self, rows: Sequence[StoredRow]) -> None:
         """Take rows that changed, in order."""
 
 
 class FeedListener(RowListener, Protocol):
     """Takes what a feed brings."""
 
-    def note_contact(self, *, reached: bool) -> None:
+    def record_contact(self, *, reached: bool) -> None:
         """Note whether the store answered."""
 
 
@@ -112,7 +112,7 @@
         page = followed.ok_value
         self._version = max(self._version, page.version)
         if page.rows:
-            self._listener.take_changes(page.rows)
+            self._listener.apply_changes(page.rows)
             await self._clock.async_sleep(self._read_pause_ms())
         return Ok(None)
 
@@ -128,11 +128,11 @@
         # comes again, which does no harm.
         self._version = read.ok_value.version
         rows = read.ok_value.rows if self._whole else ()
-        self._listener.take_all(rows, self._version)
+        self._listener.replace_all(rows, self._version)
         return Ok(None)
 
     def _note(self, *, reached: bool, why: str = "") -> None:
-        self._listener.note_contact(reached=reached)
+        self._listener.record_contact(reached=reached)
         if reached and self._failing_since is not None:
             lost_ms = self._clock.now() - self._failing_since
             _LOGGER.info("Store regained", extra={"table": self._table, "lost_ms": lost_ms})
--- a/tests/components/discovery/test_controller.py
+++ b/tests/components/discovery/test_controller.py
@@ -22,7 +22,7 @@
 def test_an_entry_that_goes_while_the_store_is_well_is_gone_at_once() -> None:
     """An upstream left, and requests reached it seconds later: its entry's end is the only word of it."""
     controller = DiscoveryController(ManualClock())
-    controller.take_all([make_entry("a"), make_entry("b")])
+    controller.replace_all([make_entry("a"), make_entry("b")])
     controller.remove("a")
     assert list_names(controller) == ["b"]
 
@@ -35,11 +35,11 @@
     """
     clock = ManualClock()
     controller = DiscoveryController(clock)
-    controller.take_all([make_entry("a"), make_entry("b")])
-    controller.note_contact(reached=False)
+    controller.replace_all([make_entry("a"), make_entry("b")])
+    controller.record_contact(reached=False)
     clock.advance(5_000)
-    controller.note_contact(reached=True)
-    controller.take_all([])
+    controller.record_contact(reached=True)
+    controller.replace_all([])
     assert list_names(controller) == ["a", "b"]
     assert controller.read().lapsed == {"a", "b"}
     clock.advance(LAPSE_GRACE_MS - 1)
@@ -53,8 +53,8 @@
 
 def test_an_upstream_that_was_draining_is_not_kept() -> None:
     controller = DiscoveryController(ManualClock())
-    controller.take_all([make_entry("a", draining=True)])
-    controller.note_contact(reached=False)
+    controller.replace_all([make_entry("a", draining=True)])
+    controller.record_contact(reached=False)
     controller.remove("a")
     assert list_names(controller) == []
 
@@ -62,9 +62,9 @@
 def test_long_after_an_outage_removal_counts_at_once_again() -> None:
     clock = ManualClock()
     controller = DiscoveryController(clock)
-    controller.take_all([make_entry("a")])
-    controller.note_contact(reached=False)
-    controller.note_contact(reached=True)
+    controller.replace_all([make_entry("a")])
+    controller.record_contact(reached=False)
+    controller.record_contact(reached=True)
     clock.advance(OUTAGE_MEMORY_MS + 1)
     controller.remove("a")
     assert list_names(controller) == []
--- a/tests/components/evacuation/test_controller.py
+++ b/tests/components/evacuation/test_controller.py
@@ -22,7 +22,7 @@
 def controller() -> EvacuationController:
     """Return a controller that knows of one evacuation."""
     controller = EvacuationController(PlainEvacuationReader())
-    controller.take_all([OTHER, make_row("dc1", 10)], 12)
+    controller.replace_all([OTHER, make_row("dc1", 10)], 12)
     return controller
 
 
@@ -43,7 +43,7 @@
     controller: EvacuationController, change: StoredRow, left: set[str]
 ) -> None:
     """Guards against a feed that replays what another daemon's word has overtaken."""
-    controller.take_changes([change])
+    controller.apply_changes([change])
     assert controller.read().data_centres == left
 
 
@@ -59,7 +59,7 @@
     controller: EvacuationController,
 ) -> None:
     """Guards against a data centre that stays shut after the store has lost its history."""
-    controller.take_all([OTHER], 30)
+    controller.replace_all([OTHER], 30)
     assert controller.read() == Evacuations(30, frozenset())
 
 
@@ -69,6 +69,6 @@
     """Guards against a malformed row that ends the evacuations in force or fills the log."""
     with caplog.at_level(logging.WARNING):
         for version in (13, 14):
-            controller.take_changes([make_row("", version)])
+            controller.apply_changes([make_row("", version)])
     assert controller.read().data_centres == {"dc1"}
     assert [record.message for record in caplog.records] == ["Evacuation unreadable: no name"]
--- a/tests/store/test_feed.py
+++ b/tests/store/test_feed.py
@@ -19,18 +19,18 @@
         self.wholes = 0
         self.contacts: list[bool] = []
 
-    def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
+    def replace_all(self, rows: Sequence[StoredRow], version: Version) -> None:
         self.wholes += 1
         self.rows = {row.key.key: row.value for row in rows}
 
-    def take_changes(self, rows: Sequence[StoredRow]) -> None:
+    def apply_changes(self, rows: Sequence[StoredRow]) -> None:
         for row in rows:
             if row.deleted:
                 self.rows.pop(row.key.key, None)
             else:
                 self.rows[row.key.key] = row.value
 
-    def note_contact(self, *, reached: bool) -> None:
+    def record_contact(self, *, reached: bool) -> None:
         self.contacts.append(reached)
 
 
