--- a/goldcreststair/components/discovery/service.py
+++ b/goldcreststair/components/discovery/service.py
@@ -29,7 +29,9 @@
         self._controller = DiscoveryController(core.clock)
         self._section = core.blackboard.open_section(LIVE_UPSTREAMS, LiveUpstreams())
         self._links = core.get(FLEET_LINKS)
-        self._feed = TableFeed(core.adapter.store, core.clock, self._reader.table, self, whole=True)
+        self._feed = TableFeed(
+            core.adapter.store, core.clock, self._reader.table, self, with_snapshot=True
+        )
         self._has_lapsed = asyncio.Event()
         self._ticking: asyncio.Task[None] | None = None
 
--- a/goldcreststair/components/fleet/service.py
+++ b/goldcreststair/components/fleet/service.py
@@ -71,7 +71,7 @@
             core.clock,
             TABLE_SESSIONS,
             self,
-            whole=True,
+            with_snapshot=True,
             read_pause_ms=lambda: choose_feed_pause_ms(len(core.blackboard.read(FLEET).vms)),
             parts=PARTS,
         )
@@ -275,7 +275,7 @@
         self._sequence += 1
         state = self._core.blackboard.read(OWN_STATE).state
         beacon = Beacon(self._own.session, self._sequence, int(state), 0)
-        beacon.store_away = self._core.store_contact.is_away() or None
+        beacon.store_away = self._core.store_contact.is_unavailable() or None
         mesh = self._controller.has_mesh()
         if mesh:
             beacon.hears = self._controller.read_hears()
@@ -410,5 +410,5 @@
         # It has missed news: who lives, which keys were withdrawn, what others spent. Each belief
         # counts again once it was heard again.
         self._controller.void()
-        for on_awake in self._core.on_awake:
-            on_awake(late_ms)
+        for on_process_resumed in self._core.on_process_resumed:
+            on_process_resumed(late_ms)
--- a/goldcreststair/components/fleet/sessions.py
+++ b/goldcreststair/components/fleet/sessions.py
@@ -10,7 +10,7 @@
 from goldcreststair.components.fleet.models import FleetVm
 from goldcreststair.components.fleet.protocols import hash_name
 from goldcreststair.store.errors import PlatformError
-from goldcreststair.store.reading import async_read_whole
+from goldcreststair.store.reading import async_read_ranges
 from goldcreststair.store.rows import RowPage, RowRange, RowStore
 from goldcreststair.wire.codec import decode_struct, encode_struct
 from goldcreststair.wire.generated.gateway.ttypes import SessionRow
@@ -36,7 +36,7 @@
     store: RowStore, table: str, parts: Iterable[str] = PARTS
 ) -> Result[RowPage, PlatformError]:
     """Return the rows of sessions or heartbeats, as of the oldest moment that holds for all of them."""
-    return await async_read_whole(store, [RowRange(table, part) for part in parts])
+    return await async_read_ranges(store, [RowRange(table, part) for part in parts])
 
 
 def encode_session(vm: FleetVm) -> bytes:
--- a/goldcreststair/components/forwarding/service.py
+++ b/goldcreststair/components/forwarding/service.py
@@ -119,7 +119,7 @@
         catalogue = self._board.read(CATALOGUE)
         if not catalogue.version or self._links.is_isolated():
             message = "cut off from the fleet" if catalogue.version else "no catalogue yet"
-            away = self._core.store_contact.is_away()
+            away = self._core.store_contact.is_unavailable()
             retry_ms = choose_ready_retry_ms(request.deadline_ms, store_away=away)
             return Err(refuse_for_now(message, RefusalCode.NOT_READY, retry_ms))
         found = find_route(catalogue, request)
--- a/goldcreststair/components/jobs/checkpoints.py
+++ b/goldcreststair/components/jobs/checkpoints.py
@@ -120,7 +120,7 @@
 
     async def _async_save_all(self) -> None:
         for job in sorted(self._book.jobs.values(), key=attrgetter("due_at")):
-            if self._core.store_contact.is_away():
+            if self._core.store_contact.is_unavailable():
                 return
             # A listing under way changes the version that a save would be made under.
             if not job.lost and self._lister.is_idle(job):
--- a/goldcreststair/components/jobs/front.py
+++ b/goldcreststair/components/jobs/front.py
@@ -56,7 +56,7 @@
     async def async_end(self, key: JobKey) -> Result[None, JobError]:
         """End a job."""
         return await self._async_call(
-            not self._contact.is_away(),
+            not self._contact.is_unavailable(),
             lambda: self._own.async_end(key),
             lambda: self._remote.async_end(key),
         )
--- a/goldcreststair/components/jobs/service.py
+++ b/goldcreststair/components/jobs/service.py
@@ -89,7 +89,7 @@
         self._links.watch(self._on_beacon, self._forget)
         self._links.on_notice(DatagramKind.JOB_NOTICE, self._on_notice)
         self._links.on_ask(AskKind.JOB, lambda question: async_answer(self, question))
-        core.on_awake.append(lambda _: self.doubt_all())
+        core.on_process_resumed.append(lambda _: self.doubt_all())
 
     async def async_start(self) -> None:
         """Begin to run and to look for jobs without an owner."""
@@ -183,18 +183,18 @@
     @property
     def can_accept(self) -> bool:
         """Whether a submission can be accepted here now."""
-        away = self._core.store_contact.is_away()
+        away = self._core.store_contact.is_unavailable()
         return not (self._leaving or away) and self._links.is_registered()
 
     def knows_results(self, key: JobKey, position: int) -> bool:
         """Return whether results from a position on can be told here now."""
-        if not self._core.store_contact.is_away() or self._find_certain(key) is not None:
+        if not self._core.store_contact.is_unavailable() or self._find_certain(key) is not None:
             return True
         return self._reader.knows(key, position)
 
     def knows_items(self, key: JobKey) -> bool:
         """Return whether a job's items can be told here now."""
-        return not self._core.store_contact.is_away() or self._find_certain(key) is not None
+        return not self._core.store_contact.is_unavailable() or self._find_certain(key) is not None
 
     def begin_leave(self) -> None:
         """Hand over what does not run, and start nothing."""
--- a/goldcreststair/components/jobs/sweeping.py
+++ b/goldcreststair/components/jobs/sweeping.py
@@ -59,7 +59,9 @@
         self._records = records
         self._owner = owner
         self._links = core.get(FLEET_LINKS)
-        self._feed = TableFeed(core.adapter.store, core.clock, TABLE_ENDS, self, whole=False)
+        self._feed = TableFeed(
+            core.adapter.store, core.clock, TABLE_ENDS, self, with_snapshot=False
+        )
 
         self._sessions: frozenset[str] = frozenset()
         self._ranked: tuple[frozenset[str], frozenset[str]] = (frozenset(), frozenset())
@@ -231,6 +233,6 @@
     own = core.session_id
     able = set(core.get(FLEET_LINKS).list_with_store())
     ready = core.blackboard.read(FLEET).states.get(own) is VmState.READY
-    if ready and not core.store_contact.is_away():
+    if ready and not core.store_contact.is_unavailable():
         able.add(own)
     return frozenset(able)
--- a/goldcreststair/components/operator_rows/service.py
+++ b/goldcreststair/components/operator_rows/service.py
@@ -18,7 +18,7 @@
         self._listeners: list[RowListener] = []
         self._links = core.get(FLEET_LINKS)
         table = core.adapter.catalogue_reader.row.table
-        self._feed = TableFeed(core.adapter.store, core.clock, table, self, whole=True)
+        self._feed = TableFeed(core.adapter.store, core.clock, table, self, with_snapshot=True)
 
     async def async_start(self) -> None:
         """Follow."""
--- a/goldcreststair/components/placement/service.py
+++ b/goldcreststair/components/placement/service.py
@@ -50,7 +50,7 @@
         self._links.watch(self._on_beacon, self.controller.runs.forget)
         self._links.watch_batch(self._on_batch)
         self._links.on_notice(DatagramKind.YIELD_NOTICE, self._on_yield_notice)
-        core.on_awake.append(lambda _: self.controller.cold.void())
+        core.on_process_resumed.append(lambda _: self.controller.cold.void())
         self._on_yield: OnYield = lambda name, count: None
         self._unsubscribe: list[Callable[[], None]] = []
         self._tasks: list[asyncio.Task[None]] = []
--- a/goldcreststair/components/quotas/service.py
+++ b/goldcreststair/components/quotas/service.py
@@ -27,7 +27,7 @@
         self._links = core.get(FLEET_LINKS)
         self._links.contribute(self._contribute)
         self._links.watch(self._on_beacon, self._controller.forget)
-        core.on_awake.append(lambda _: self._controller.void())
+        core.on_process_resumed.append(lambda _: self._controller.void())
         self._unsubscribe: list[Callable[[], None]] = []
 
     async def async_start(self) -> None:
--- a/goldcreststair/collector.py
+++ b/goldcreststair/garbage_collection.py
@@ -3,7 +3,7 @@
 import gc
 
 
-def settle_collector() -> None:
+def freeze_startup_objects() -> None:
     """Leave out of each collection what a start has made; called once, when the daemon has started.
 
     It lives as long as the process: walked through at each full collection, it shows as a pause in all
--- a/goldcreststair/gateway_core.py
+++ b/goldcreststair/gateway_core.py
@@ -53,6 +53,6 @@
     transport: PeerTransport
     session_id: str
     """Names this run of the daemon, never used again after a restart."""
-    on_awake: list[Callable[[int], None]] = field(default_factory=list)
+    on_process_resumed: list[Callable[[int], None]] = field(default_factory=list)
     """Called with the ms that this process stood still, before it decides anything by age."""
     _components: dict[str, Any] = field(default_factory=dict)
--- a/goldcreststair/store/contact.py
+++ b/goldcreststair/store/contact.py
@@ -25,7 +25,7 @@
         else:
             self._failed_at = self._clock.now()
 
-    def is_away(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Return whether calls have failed for a while; a single lost answer says little."""
         return self._failed_at is not None and self.read_age_ms() > AWAY_MS
 
--- a/goldcreststair/store/feed.py
+++ b/goldcreststair/store/feed.py
@@ -9,7 +9,7 @@
 
 from goldcreststair.clock import Clock, Millis
 from goldcreststair.store.errors import PlatformError
-from goldcreststair.store.reading import async_read_whole
+from goldcreststair.store.reading import async_read_ranges
 from goldcreststair.store.rows import HistoryLost, RowRange, RowStore, StoredRow, Version
 
 _LOGGER = logging.getLogger(__name__)
@@ -55,11 +55,11 @@
         table: str,
         listener: FeedListener,
         *,
-        whole: bool,
+        with_snapshot: bool,
         read_pause_ms: Callable[[], int] = lambda: 0,
         parts: Sequence[str] = ("",),
     ) -> None:
-        """Follow `table`; without `whole`, only what changes from now on is brought.
+        """Follow `table`; without `with_snapshot`, only what changes from now on is brought.
 
         Changes that come within `read_pause_ms` of others are brought together. All rows stand in `parts`.
         """
@@ -69,7 +69,7 @@
         self._clock = clock
         self._table = table
         self._listener = listener
-        self._whole = whole
+        self._with_snapshot = with_snapshot
         self._version = -1
         self._failing_since: Millis | None = None
         self._task: asyncio.Task[None] | None = None
@@ -117,9 +117,9 @@
         return Ok(None)
 
     async def _async_read_all(self) -> Result[None, PlatformError]:
-        if self._whole:
+        if self._with_snapshot:
             ranges = [RowRange(self._table, part, limit=PAGE_ROWS) for part in self._parts]
-            read = await async_read_whole(self._store, ranges)
+            read = await async_read_ranges(self._store, ranges)
         else:
             read = await self._store.async_read(RowRange(self._table, limit=1))
         if isinstance(read, Err):
@@ -127,7 +127,7 @@
         # The feed goes on from the first page's moment: what changed while the others were read
         # comes again, which does no harm.
         self._version = read.ok_value.version
-        rows = read.ok_value.rows if self._whole else ()
+        rows = read.ok_value.rows if self._with_snapshot else ()
         self._listener.replace_all(rows, self._version)
         return Ok(None)
 
--- a/goldcreststair/store/reading.py
+++ b/goldcreststair/store/reading.py
@@ -30,7 +30,7 @@
         wanted = replace(wanted, first=page.rows[-1].key.key + "\0")
 
 
-async def async_read_whole(
+async def async_read_ranges(
     store: RowStore, ranges: Sequence[RowRange]
 ) -> Result[RowPage, PlatformError]:
     """Return every row of several ranges, as of the oldest of their moments."""
--- a/tests/components/quotas/test_histories.py
+++ b/tests/components/quotas/test_histories.py
@@ -119,8 +119,8 @@
         fleet.members.remove(member)
         self._cut_off(member)
         await fleet.clock.async_sleep(gap_ms)
-        for on_awake in member.core.on_awake:
-            on_awake(gap_ms)
+        for on_process_resumed in member.core.on_process_resumed:
+            on_process_resumed(gap_ms)
         fleet.datagrams.heal()
         fleet.members.append(member)
 
--- a/tests/store/test_feed.py
+++ b/tests/store/test_feed.py
@@ -35,7 +35,8 @@
 
 
 def run_feed(
-    scenario: Callable[[FakeRowStore, Listener, LoopClock], Awaitable[None]], whole: bool = True
+    scenario: Callable[[FakeRowStore, Listener, LoopClock], Awaitable[None]],
+    with_snapshot: bool = True,
 ) -> None:
     """Run a scenario with a feed that has read the table."""
 
@@ -43,7 +44,7 @@
         clock = LoopClock()
         store, listener = FakeRowStore(clock), Listener()
         store.put(KEY, b"0")
-        feed = TableFeed(store.view(), clock, "t", listener, whole=whole)
+        feed = TableFeed(store.view(), clock, "t", listener, with_snapshot=with_snapshot)
         await feed.async_start()
         await clock.async_sleep(50)
         try:
@@ -115,4 +116,4 @@
         await clock.async_sleep(10)
         assert listener.rows == {"job": b"1"}
 
-    run_feed(scenario, whole=False)
+    run_feed(scenario, with_snapshot=False)
