--- a/goldcreststair/store/errors.py
+++ b/goldcreststair/store/errors.py
@@ -13,20 +13,20 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformUnavailable(PlatformError):
-    """The call certainly had no effect (refused, or it never left)."""
+    """The call certainly had no effect: it was refused, or never sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformOutcomeUnknown(PlatformError):
-    """No answer came back: the call may or may not have taken effect."""
+    """No answer was received: the call may or may not have taken effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class RowConflict(PlatformError):
-    """A compare-and-set met another version; nothing was written."""
+    """A compare-and-set found another version; nothing was written."""
 
     current: Row | None = None
-    """The row as it stands, or None if it does not exist."""
+    """The row's current state, or None if it does not exist."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/goldcreststair/store/feed.py
+++ b/goldcreststair/store/feed.py
@@ -1,4 +1,4 @@
-"""Follows the changes of one table, through outages and lost history."""
+"""Follows the changes of one table; recovers from outages of the store and from compacted history."""
 
 import asyncio
 import logging
@@ -15,38 +15,39 @@
 _LOGGER = logging.getLogger(__name__)
 
 FEED_WAIT_MS: Final = 2_500
-"""A connection may go silent for good: the wait is short, so that a silent feed is noticed and
-replaced before a leaving upstream or a new catalogue must be known."""
+"""Longest wait of one call for changes. A connection may go silent for good: the wait is short, so that
+a silent feed is detected and replaced before a draining upstream or a new catalogue has to be known."""
 PROBE_WAIT_MS: Final = 50
-"""The wait of the first call after a failure."""
+"""Wait for changes in the first call after a failure."""
 RETRY_MIN_MS: Final = 100
 RETRY_MAX_MS: Final = 500
-"""Longest pause between tries while the store is away; what it missed is then known soon after."""
+"""Longest delay between retries while the store is unavailable; bounds how late missed changes arrive
+once it is back."""
 PAGE_ROWS: Final = 500
 
 
 class RowListener(Protocol):
-    """Takes the rows of a table."""
+    """Receives the rows of a table."""
 
     def replace_all(self, rows: Sequence[StoredRow], version: Version) -> None:
-        """Take every row of the table as of a version of the store.
+        """Replace the known rows by every row of the table, as of a version of the store.
 
-        Of a feed that is not whole, take it that changes were missed.
+        A feed without a snapshot passes no rows; the listener then has to assume that it missed changes.
         """
 
     def apply_changes(self, rows: Sequence[StoredRow]) -> None:
-        """Take rows that changed, in order."""
+        """Apply rows that changed, in order; removed rows are marked as deleted."""
 
 
 class FeedListener(RowListener, Protocol):
-    """Takes what a feed brings."""
+    """Receives a table's rows and the outcomes of the feed's calls."""
 
     def record_contact(self, *, reached: bool) -> None:
-        """Note whether the store answered."""
+        """Record whether the store answered a call of the feed."""
 
 
 class TableFeed:
-    """Reads a table whole, then follows it."""
+    """Reads all rows of a table, then follows its changes."""
 
     def __init__(
         self,
@@ -59,9 +60,10 @@
         read_pause_ms: Callable[[], int] = lambda: 0,
         parts: Sequence[str] = ("",),
     ) -> None:
-        """Follow `table`; without `with_snapshot`, only what changes from now on is brought.
+        """Prepare a feed of `table`; without `with_snapshot`, it delivers only changes from now on.
 
-        Changes that come within `read_pause_ms` of others are brought together. All rows stand in `parts`.
+        After each delivery the feed waits for the ms that `read_pause_ms` returns, so that changes within
+        that time arrive together. `parts` are the parts of the table that hold its rows.
         """
         self._parts = parts
         self._read_pause_ms = read_pause_ms
@@ -75,11 +77,11 @@
         self._task: asyncio.Task[None] | None = None
 
     async def async_start(self) -> None:
-        """Begin to follow."""
+        """Start following the table."""
         self._task = asyncio.create_task(self._async_follow())
 
     async def async_close(self) -> None:
-        """Stop."""
+        """Stop following the table; safe to call twice."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -88,23 +90,27 @@
     async def _async_follow(self) -> None:
         failures = 0
         while True:
-            outcome = await (self._async_read_all() if self._version < 0 else self._async_step())
+            outcome = await (
+                self._async_read_snapshot() if self._version < 0 else self._async_read_changes()
+            )
             if isinstance(outcome, Ok):
                 failures = 0
-                self._note(reached=True)
+                self._record_contact(reached=True)
                 continue
             if isinstance(outcome.err_value, HistoryLost):
-                _LOGGER.info("History lost, reading all", extra={"table": self._table})
+                _LOGGER.info(
+                    "Change history compacted; reading all rows", extra={"table": self._table}
+                )
                 self._version = -1
                 continue
             failures += 1
-            self._note(reached=False, why=outcome.err_value.message)
+            self._record_contact(reached=False, reason=outcome.err_value.message)
             pause_ms = min(RETRY_MAX_MS, RETRY_MIN_MS << min(failures, 4))
             await self._clock.async_sleep(pause_ms)
 
-    async def _async_step(self) -> Result[None, PlatformError]:
-        # After a failure one short wait shows whether the store is back; a full one would keep the
-        # news for seconds.
+    async def _async_read_changes(self) -> Result[None, PlatformError]:
+        # After a failure a call with a short wait shows whether the store is back; with the full wait
+        # the recovery would be noticed only seconds later.
         wait_ms = FEED_WAIT_MS if self._failing_since is None else PROBE_WAIT_MS
         followed = await self._store.async_follow(self._table, self._version, wait_ms)
         if isinstance(followed, Err):
@@ -116,7 +122,7 @@
             await self._clock.async_sleep(self._read_pause_ms())
         return Ok(None)
 
-    async def _async_read_all(self) -> Result[None, PlatformError]:
+    async def _async_read_snapshot(self) -> Result[None, PlatformError]:
         if self._with_snapshot:
             ranges = [RowRange(self._table, part, limit=PAGE_ROWS) for part in self._parts]
             read = await async_read_ranges(self._store, ranges)
@@ -124,19 +130,19 @@
             read = await self._store.async_read(RowRange(self._table, limit=1))
         if isinstance(read, Err):
             return read
-        # The feed goes on from the first page's moment: what changed while the others were read
-        # comes again, which does no harm.
+        # The feed continues from the first page's version: rows that changed while later pages were
+        # read are delivered again, which is harmless.
         self._version = read.ok_value.version
         rows = read.ok_value.rows if self._with_snapshot else ()
         self._listener.replace_all(rows, self._version)
         return Ok(None)
 
-    def _note(self, *, reached: bool, why: str = "") -> None:
+    def _record_contact(self, *, reached: bool, reason: str = "") -> None:
         self._listener.record_contact(reached=reached)
         if reached and self._failing_since is not None:
             lost_ms = self._clock.now() - self._failing_since
             _LOGGER.info("Store regained", extra={"table": self._table, "lost_ms": lost_ms})
             self._failing_since = None
         elif not reached and self._failing_since is None:
-            _LOGGER.warning("Store lost", extra={"table": self._table, "reason": why})
+            _LOGGER.warning("Store lost", extra={"table": self._table, "reason": reason})
             self._failing_since = self._clock.now()
--- a/goldcreststair/store/http.py
+++ b/goldcreststair/store/http.py
@@ -27,10 +27,10 @@
 
 
 class HttpPlatformClient:
-    """Sends requests to one platform endpoint and sorts the failures."""
+    """Sends requests to one platform endpoint and classifies failures."""
 
     def __init__(self, url: str, timeout_ms: int = DEFAULT_TIMEOUT_MS) -> None:
-        """Take the platform's base URL; nothing is sent yet."""
+        """Set the platform's base URL and the timeout of a call; nothing is sent yet."""
         parts = urlsplit(url)
         self._address = f"{parts.hostname}:{parts.port or 80}"
         self._timeout_ms = timeout_ms
@@ -38,7 +38,10 @@
     async def async_send(
         self, method: str, path: str, body: bytes = b""
     ) -> Result[Answer, PlatformError]:
-        """Return any answer but a refusal; a refusal or failed connection had no effect."""
+        """Send a request and return its answer.
+
+        A refusal (429 or 503) or a failed connection is `PlatformUnavailable`: it had no effect.
+        """
         exchange = Exchange(self._address, method, path, self._timeout_ms, body=body)
         outcome = await async_exchange(exchange)
         if isinstance(outcome, Err):
@@ -95,7 +98,7 @@
     async def async_scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> Result[tuple[Row, ...], PlatformError]:
-        """Return rows by prefix in the order of their keys."""
+        """Return up to `limit` rows by key prefix, in key order."""
         request = {"prefix": prefix, "after": after, "limit": limit}
         outcome = await self._client.async_call("/table/scan", request)
         if isinstance(outcome, Err):
@@ -108,7 +111,7 @@
     async def async_write(
         self, writes: Sequence[RowWrite]
     ) -> Result[tuple[int, ...], PlatformError | RowConflict]:
-        """Apply all writes or none."""
+        """Apply all writes or none; returns the new versions in order."""
         request = {"writes": [_encode_write(write) for write in writes]}
         outcome = await self._client.async_call("/table/write", request)
         if isinstance(outcome, Err):
--- a/goldcreststair/store/metered.py
+++ b/goldcreststair/store/metered.py
@@ -1,4 +1,4 @@
-"""The store, with every call timed and its outcome noted."""
+"""A wrapper of the store that times every call and records its outcome."""
 
 import time
 from collections.abc import Awaitable, Sequence
@@ -30,10 +30,10 @@
 
 
 class MeteredStore:
-    """Implements `RowStore` by another one."""
+    """Implements `RowStore` by forwarding to another one."""
 
     def __init__(self, store: RowStore, meters: Meters, contact: StoreContact) -> None:
-        """Time the calls of `store` and tell `contact` of each."""
+        """Wrap `store`; call times go to `meters`, reachability to `contact`."""
         self._contact = contact
         self._store = store
         self._meters = meters
@@ -41,23 +41,23 @@
     async def async_commit(
         self, transaction: Transaction
     ) -> Result[Committed, PlatformError | RowsConflict]:
-        """Make all changes or none."""
+        """Apply all changes or none."""
         return await self._async_time("commit", self._store.async_commit(transaction))
 
-    async def async_read(self, wanted: RowRange) -> Result[RowPage, PlatformError]:
+    async def async_read(self, row_range: RowRange) -> Result[RowPage, PlatformError]:
         """Return rows of one part."""
-        return await self._async_time("read", self._store.async_read(wanted))
+        return await self._async_time("read", self._store.async_read(row_range))
 
     async def async_list_parts(
         self, table: str, after: str = ""
     ) -> Result[tuple[Sequence[str], bool], PlatformError]:
-        """Return the parts of a table after one, and whether there are more."""
+        """Return the parts of a table after `after`, and whether there are more."""
         return await self._async_time("parts", self._store.async_list_parts(table, after))
 
     async def async_follow(
         self, table: str, after: int, wait_ms: int
     ) -> Result[RowPage, PlatformError | HistoryLost]:
-        """Return what changed after a version; its time is mostly the wait it was asked for."""
+        """Return what changed after a version; its measured time is mostly the requested wait."""
         return await self._async_time("follow", self._store.async_follow(table, after, wait_ms))
 
     async def async_put_object(
@@ -75,12 +75,12 @@
         return await self._async_time("drop", self._store.async_drop_object(name))
 
     async def _async_time(self, call: str, work: Awaitable[Result[T, E]]) -> Result[T, E]:
-        began = time.monotonic()
+        started_at = time.monotonic()
         outcome = await work
-        spent_ms = (time.monotonic() - began) * MS_PER_SECOND
-        self._meters.observe_store(call, _name_outcome(outcome), spent_ms)
+        elapsed_ms = (time.monotonic() - started_at) * MS_PER_SECOND
+        self._meters.observe_store(call, _name_outcome(outcome), elapsed_ms)
         error = outcome.err_value if isinstance(outcome, Err) else None
-        self._contact.note(
+        self._contact.record(
             reached=not isinstance(error, PlatformUnavailable | PlatformOutcomeUnknown)
         )
         return outcome
--- a/goldcreststair/store/models.py
+++ b/goldcreststair/store/models.py
@@ -1,4 +1,4 @@
-"""What the platform's services hold and answer."""
+"""Data types of the platform's services."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
     key: str
     version: int
-    """Starts at 1 and grows by one at each write; 0 stands for no row."""
+    """Starts at 1 and increases by one with each write; 0 means that the row does not exist."""
     value: bytes
 
 
@@ -24,7 +24,7 @@
 
 
 class ListedState(StrEnum):
-    """What the platform says of a VM."""
+    """State of a VM in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedVm:
-    """One VM, entry or upstream, in the platform's lagging list."""
+    """One VM, entry or upstream, in the platform's list, which lags behind its real state."""
 
     address: str
     data_centre: str
--- a/goldcreststair/store/protocols.py
+++ b/goldcreststair/store/protocols.py
@@ -1,4 +1,4 @@
-"""What is asked of the platform; adapters and stand-ins implement these."""
+"""Interfaces of the platform's services; adapters and stand-ins implement them."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -19,12 +19,12 @@
     async def async_read_many(
         self, keys: Sequence[str]
     ) -> Result[tuple[Row | None, ...], PlatformError]:
-        """Return rows in the order of `keys`; counts as one read a key."""
+        """Return rows in the order of `keys`; counts as one read per key."""
 
     async def async_scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> Result[tuple[Row, ...], PlatformError]:
-        """Return up to `limit` rows whose key has `prefix` and is greater than `after`."""
+        """Return up to `limit` rows whose key starts with `prefix` and is greater than `after`."""
 
     async def async_write(
         self, writes: Sequence[RowWrite]
@@ -36,7 +36,7 @@
     """Immutable objects by name."""
 
     async def async_put(self, name: str, content: bytes) -> Result[None, PlatformError]:
-        """Store an object; the same name and content again is no error."""
+        """Store an object; storing the same name and content again is no error."""
 
     async def async_get(self, name: str) -> Result[bytes, PlatformError | ObjectMissing]:
         """Return an object's content."""
@@ -46,14 +46,14 @@
 
 
 class VmList(Protocol):
-    """The platform's list of VMs, which lags."""
+    """The platform's list of VMs, which lags behind their real state."""
 
     async def async_list(self) -> Result[tuple[ListedVm, ...], PlatformError]:
         """Return all VMs, live and leaving."""
 
 
 class WeightStore(Protocol):
-    """Model weights, loaded by engines at a limited rate."""
+    """Model weights, which engines load at a limited rate."""
 
     async def async_describe(self, model: str) -> Result[int, PlatformError | ObjectMissing]:
         """Return the size of a model's weights in bytes."""
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Platform:
-    """The platform's services together."""
+    """All services of the platform."""
 
     table: TableService
     objects: ObjectStore
--- a/goldcreststair/store/reading.py
+++ b/goldcreststair/store/reading.py
@@ -1,4 +1,4 @@
-"""Reads ranges of rows that do not fit one page."""
+"""Reads ranges of rows that span several pages."""
 
 import asyncio
 from collections.abc import Sequence
@@ -10,16 +10,16 @@
 from goldcreststair.store.rows import RowPage, RowRange, RowStore, StoredRow
 
 
-async def async_read_all(store: RowStore, wanted: RowRange) -> Result[RowPage, PlatformError]:
+async def async_read_all(store: RowStore, row_range: RowRange) -> Result[RowPage, PlatformError]:
     """Return every row of a range, with version and time of the first page.
 
-    Rows that change while later pages are read may stand in either state; a feed that goes on from
-    the first page's version brings them again.
+    Rows that change while later pages are read may be in either state; a feed that continues from
+    the first page's version delivers them again.
     """
     rows: list[StoredRow] = []
     first: RowPage | None = None
     while True:
-        read = await store.async_read(wanted)
+        read = await store.async_read(row_range)
         if isinstance(read, Err):
             return read
         page = read.ok_value
@@ -27,13 +27,13 @@
         rows += page.rows
         if not page.truncated or not page.rows:
             return Ok(replace(first, rows=tuple(rows), truncated=False))
-        wanted = replace(wanted, first=page.rows[-1].key.key + "\0")
+        row_range = replace(row_range, first=page.rows[-1].key.key + "\0")
 
 
 async def async_read_ranges(
     store: RowStore, ranges: Sequence[RowRange]
 ) -> Result[RowPage, PlatformError]:
-    """Return every row of several ranges, as of the oldest of their moments."""
+    """Return every row of several ranges, with the oldest of their versions and its time."""
     pages: list[RowPage] = []
     for read in await asyncio.gather(*(async_read_all(store, each) for each in ranges)):
         if isinstance(read, Err):
--- a/goldcreststair/store/rows.py
+++ b/goldcreststair/store/rows.py
@@ -1,4 +1,4 @@
-"""Rows with conditional transactions and a feed of changes, and objects that are put once."""
+"""Interface of the row store: conditional transactions, a feed of changes, and write-once objects."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -9,12 +9,12 @@
 from goldcreststair.store.errors import PlatformError
 
 Version = int
-"""Grows over all rows together with each transaction."""
+"""Increases with each transaction; one sequence for all rows of the store."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class RowKey:
-    """Where a row stands; all rows of one transaction share their part."""
+    """Identifies a row; all rows of one transaction have the same part."""
 
     table: str
     part: str
@@ -28,41 +28,41 @@
     key: RowKey
     value: bytes
     version: int
-    """Grows over all rows together; 0 stands for a row that does not exist."""
+    """Version of the transaction that changed it, in one sequence for all rows; 0 if there is no row."""
     deleted: bool = False
     """True only in a feed: the row was removed at this version."""
 
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """Changes that are made all or not at all."""
+    """Changes that are applied all or not at all."""
 
     puts: tuple[tuple[RowKey, bytes], ...] = ()
     deletes: tuple[RowKey, ...] = ()
     conditions: tuple[tuple[RowKey, int], ...] = ()
-    """Version that each of these rows must have; 0 if it must not exist."""
+    """Version that each of these rows must have; 0 if the row must not exist."""
 
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """A transaction that was made."""
+    """The result of a transaction that was applied."""
 
     version: int
     """Version of every row that it put."""
     now_ms: int
-    """The store's own steady clock."""
+    """Time of the store's own monotonic clock, ms."""
 
 
 @dataclass(frozen=True, slots=True)
 class RowPage:
-    """Rows as of one moment, by key in ascending byte order."""
+    """Rows as of one version of the store, by key in ascending byte order."""
 
     rows: tuple[StoredRow, ...]
     truncated: bool
     version: int
-    """The newest version of the store at that moment; a feed may go on from here."""
+    """The store's newest version at that time; a feed may continue from here."""
     now_ms: int
-    """The store's own steady clock."""
+    """Time of the store's own monotonic clock, ms."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,42 +80,42 @@
 
 @dataclass(frozen=True, slots=True)
 class RowsConflict(PlatformError):
-    """A condition did not hold; nothing was written."""
+    """A condition of a transaction did not hold; nothing was written."""
 
     rows: tuple[StoredRow, ...] = ()
-    """The rows under condition that exist, as they stand."""
+    """Current state of those rows named in the conditions that exist."""
 
 
 @dataclass(frozen=True, slots=True)
 class HistoryLost(PlatformError):
-    """A feed cannot go on from a version so old: read all rows again."""
+    """The store no longer has the changes since a version: all rows have to be read again."""
 
 
 @dataclass(frozen=True, slots=True)
 class ObjectExists(PlatformError):
-    """An object of this name is there already; it was not replaced."""
+    """An object of this name exists already; it was not replaced."""
 
 
 class RowStore(Protocol):
-    """A linearisable store that is at times slow, silent or away."""
+    """A linearisable store that may at times be slow, silent or unavailable."""
 
     async def async_commit(
         self, transaction: Transaction
     ) -> Result[Committed, PlatformError | RowsConflict]:
-        """Make all changes or none; with an unknown outcome they may still be made later."""
+        """Apply all changes or none; after an unknown outcome they may still be applied later."""
 
-    async def async_read(self, wanted: RowRange) -> Result[RowPage, PlatformError]:
+    async def async_read(self, row_range: RowRange) -> Result[RowPage, PlatformError]:
         """Return rows of one part."""
 
     async def async_list_parts(
         self, table: str, after: str = ""
     ) -> Result[tuple[Sequence[str], bool], PlatformError]:
-        """Return the parts of a table after one, and whether there are more."""
+        """Return the parts of a table after `after`, and whether there are more."""
 
     async def async_follow(
         self, table: str, after: int, wait_ms: int
     ) -> Result[RowPage, PlatformError | HistoryLost]:
-        """Return what changed after a version, in order; waits for a change up to `wait_ms`."""
+        """Return what changed after version `after`, in order; waits up to `wait_ms` for a change."""
 
     async def async_put_object(
         self, name: str, content: bytes
--- a/tests/store/test_feed.py
+++ b/tests/store/test_feed.py
@@ -1,4 +1,4 @@
-"""A feed through outages, lost history and silence."""
+"""Table feeds: outages of the store, compacted history and calls that are never answered."""
 
 from collections.abc import Awaitable, Callable, Sequence
 
@@ -12,15 +12,15 @@
 
 
 class Listener:
-    """Keeps what a feed brings."""
+    """Records what a feed delivers."""
 
     def __init__(self) -> None:
         self.rows: dict[str, bytes] = {}
-        self.wholes = 0
+        self.snapshots = 0
         self.contacts: list[bool] = []
 
     def replace_all(self, rows: Sequence[StoredRow], version: Version) -> None:
-        self.wholes += 1
+        self.snapshots += 1
         self.rows = {row.key.key: row.value for row in rows}
 
     def apply_changes(self, rows: Sequence[StoredRow]) -> None:
@@ -38,7 +38,7 @@
     scenario: Callable[[FakeRowStore, Listener, LoopClock], Awaitable[None]],
     with_snapshot: bool = True,
 ) -> None:
-    """Run a scenario with a feed that has read the table."""
+    """Run a scenario with a feed that has finished its first read."""
 
     async def async_run() -> None:
         clock = LoopClock()
@@ -55,7 +55,7 @@
     run_virtual(async_run())
 
 
-def test_changes_arrive_within_a_call() -> None:
+def test_changes_arrive_during_a_waiting_call() -> None:
     async def scenario(store: FakeRowStore, listener: Listener, clock: LoopClock) -> None:
         assert listener.rows == {"k": b"0"}
         store.put(KEY, b"1")
@@ -68,7 +68,7 @@
     run_feed(scenario)
 
 
-def test_what_changed_during_an_outage_is_known_soon_after_it() -> None:
+def test_changes_made_during_an_outage_arrive_soon_after_it() -> None:
     async def scenario(store: FakeRowStore, listener: Listener, clock: LoopClock) -> None:
         store.faults.down = True
         store.put(KEY, b"1")
@@ -81,10 +81,10 @@
     run_feed(scenario)
 
 
-def test_after_lost_history_all_is_read_again() -> None:
-    """An upstream that had left during a compaction went on getting requests.
+def test_all_rows_are_read_again_after_the_history_was_compacted() -> None:
+    """Guards against an upstream that still gets requests after it left during a compaction.
 
-    The feed could not go on, and the rows removed meanwhile are in no later change.
+    The feed cannot continue from its version, and rows removed meanwhile appear in no later change.
     """
 
     async def scenario(store: FakeRowStore, listener: Listener, clock: LoopClock) -> None:
@@ -97,7 +97,7 @@
     run_feed(scenario)
 
 
-def test_a_feed_that_fell_silent_is_replaced() -> None:
+def test_a_call_that_is_never_answered_is_replaced() -> None:
     async def scenario(store: FakeRowStore, listener: Listener, clock: LoopClock) -> None:
         store.faults.silent_feeds = True
         await clock.async_sleep(FEED_WAIT_MS)
@@ -109,7 +109,7 @@
     run_feed(scenario)
 
 
-def test_a_feed_that_is_not_whole_brings_only_what_changes() -> None:
+def test_a_feed_without_a_snapshot_delivers_only_changes() -> None:
     async def scenario(store: FakeRowStore, listener: Listener, clock: LoopClock) -> None:
         assert listener.rows == {}
         store.put(RowKey("t", "club", "job"), b"1")
