--- a/tests/platform_adapter/local.py
+++ b/tests/platform_adapter/local.py
@@ -10,8 +10,8 @@
 from serve import create_gateway
 from tornado.httpserver import HTTPServer
 from users_platform.callers import CallerServer
+from users_platform.early_listener import listen
 from users_platform.entry import create_entry_application
-from users_platform.reception import listen
 
 from goldcreststair.clock import BootClock
 from goldcreststair.components.entry.service import ENTRY
--- a/tests/platform_adapter/test_documents.py
+++ b/tests/platform_adapter/test_documents.py
@@ -226,4 +226,4 @@
     reader = UpstreamEntries()
     for _ in range(3):
         reader.decode("u", make_entry(cold_left_ms="soon"))
-    assert [record.message for record in caplog.records] == ["Field is no number of at least 0"]
+    assert [record.message for record in caplog.records] == ["Field is not a number of at least 0"]
--- a/tests/platform_adapter/test_reception.py
+++ b/tests/platform_adapter/test_early_listener.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from users_platform.reception import choose_reception, listen, open_reception
+from users_platform.early_listener import choose_listener, listen, open_early_listener
 
 from tests.platform_adapter.local import find_port
 
@@ -72,15 +72,15 @@
     path = tmp_path / "settings.toml"
     if text is not None:
         path.write_text(text)
-    assert open_reception(str(path)) is None
+    assert open_early_listener(str(path)) is None
 
 
 @pytest.mark.parametrize("same", [True, False])
 def test_flags_go_before_the_settings_file(tmp_path: Path, same: bool) -> None:
     port, other = find_port(), find_port()
-    early = open_reception(str(write_settings(tmp_path / "s", f"127.0.0.1:{port}")))
+    early = open_early_listener(str(write_settings(tmp_path / "s", f"127.0.0.1:{port}")))
     assert early is not None
-    chosen = choose_reception(early, "127.0.0.1", port if same else other)
+    chosen = choose_listener(early, "127.0.0.1", port if same else other)
     assert (chosen is early) == same and (early.fileno() < 0) != same
     chosen.close()
 
