--- a/goldcreststair/components/fleet/service.py
+++ b/goldcreststair/components/fleet/service.py
@@ -71,7 +71,7 @@
             core.clock,
             TABLE_SESSIONS,
             self,
-            whole=True,
+            with_snapshot=True,
             read_pause_ms=lambda: choose_feed_pause_ms(len(core.blackboard.read(FLEET).vms)),
             parts=PARTS,
         )
@@ -219,12 +219,12 @@
         """Note an answer of the store."""
         self._controller.note_store()
 
-    def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
+    def replace_all(self, rows: Sequence[StoredRow], version: Version) -> None:
         """Take every session in the store."""
         self._controller.take_rows(vm for row in rows if (vm := decode_session(row.value)))
         self.publish()
 
-    def take_changes(self, rows: Sequence[StoredRow]) -> None:
+    def apply_changes(self, rows: Sequence[StoredRow]) -> None:
         """Take sessions that came or went."""
         for row in rows:
             if row.deleted:
@@ -235,7 +235,7 @@
                 self._controller.add(vm)
         self.publish()
 
-    def note_contact(self, *, reached: bool) -> None:
+    def record_contact(self, *, reached: bool) -> None:
         """Note whether the store answered."""
         if reached:
             self._controller.note_store()
@@ -275,7 +275,7 @@
         self._sequence += 1
         state = self._core.blackboard.read(OWN_STATE).state
         beacon = Beacon(self._own.session, self._sequence, int(state), 0)
-        beacon.store_away = self._core.store_contact.is_away() or None
+        beacon.store_away = self._core.store_contact.is_unavailable() or None
         mesh = self._controller.has_mesh()
         if mesh:
             beacon.hears = self._controller.read_hears()
@@ -410,5 +410,5 @@
         # It has missed news: who lives, which keys were withdrawn, what others spent. Each belief
         # counts again once it was heard again.
         self._controller.void()
-        for on_awake in self._core.on_awake:
-            on_awake(late_ms)
+        for on_process_resumed in self._core.on_process_resumed:
+            on_process_resumed(late_ms)
--- a/goldcreststair/components/jobs/sweeping.py
+++ b/goldcreststair/components/jobs/sweeping.py
@@ -59,7 +59,9 @@
         self._records = records
         self._owner = owner
         self._links = core.get(FLEET_LINKS)
-        self._feed = TableFeed(core.adapter.store, core.clock, TABLE_ENDS, self, whole=False)
+        self._feed = TableFeed(
+            core.adapter.store, core.clock, TABLE_ENDS, self, with_snapshot=False
+        )
 
         self._sessions: frozenset[str] = frozenset()
         self._ranked: tuple[frozenset[str], frozenset[str]] = (frozenset(), frozenset())
@@ -88,17 +90,17 @@
             await asyncio.gather(self._task, return_exceptions=True)
             self._task = None
 
-    def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
+    def replace_all(self, rows: Sequence[StoredRow], version: Version) -> None:
         """Take it that ends of jobs may have been missed."""
         self._owner.doubt_all()
 
-    def take_changes(self, rows: Sequence[StoredRow]) -> None:
+    def apply_changes(self, rows: Sequence[StoredRow]) -> None:
         """Take jobs that their callers ended."""
         for row in rows:
             if not row.deleted:
                 self._owner.drop_ended(JobKey(row.key.part, row.key.key))
 
-    def note_contact(self, *, reached: bool) -> None:
+    def record_contact(self, *, reached: bool) -> None:
         """Note whether the store answered."""
         if reached:
             self._links.note_store()
@@ -231,6 +233,6 @@
     own = core.session_id
     able = set(core.get(FLEET_LINKS).list_with_store())
     ready = core.blackboard.read(FLEET).states.get(own) is VmState.READY
-    if ready and not core.store_contact.is_away():
+    if ready and not core.store_contact.is_unavailable():
         able.add(own)
     return frozenset(able)
