--- a/goldcreststair/components/batch/views.py
+++ b/goldcreststair/components/batch/views.py
@@ -16,7 +16,7 @@
 from goldcreststair.components.caller_api.handler import CallerHandler
 from goldcreststair.components.limits.protocols import LIMITS
 from goldcreststair.const import HEADER_IDEMPOTENCY_KEY
-from goldcreststair.helpers.refusals import Refusal, RefusalCode, doubt_earlier_sends
+from goldcreststair.helpers.refusals import Refusal, RefusalCode, clear_not_run
 
 RETRY_AFTER_MS: Final = 2_000
 MAX_PAGE: Final = 1_000
@@ -84,7 +84,7 @@
         # submit the digest anew under another key, and have each summary twice.
         resent = HEADER_IDEMPOTENCY_KEY in self.request.headers
         passing = refusal.status in (429, 503)
-        self.refuse(doubt_earlier_sends(refusal) if resent and passing else refusal)
+        self.refuse(clear_not_run(refusal) if resent and passing else refusal)
 
     async def data_received(self, chunk: bytes) -> None:
         """Store items as they arrive; the socket waits meanwhile."""
--- a/goldcreststair/components/caller_api/errors.py
+++ b/goldcreststair/components/caller_api/errors.py
@@ -6,7 +6,7 @@
 
 from goldcreststair.components.caller_api.parsing import BadField
 from goldcreststair.components.keys.protocols import KeyRefused
-from goldcreststair.helpers.refusals import Refusal, RefusalCode, doubt_earlier_sends
+from goldcreststair.helpers.refusals import Refusal, RefusalCode, clear_not_run
 
 DEFAULT_TYPE: Final = "server_error"
 _TYPES: Final = {
@@ -25,7 +25,7 @@
     refusal = Refusal(error.message, RefusalCode.INVALID_KEY, 401, True)
     if error.temporary:
         refusal = Refusal(error.message, RefusalCode.NOT_READY, 503, True, 1000)
-    return doubt_earlier_sends(refusal) if idempotency_key else refusal
+    return clear_not_run(refusal) if idempotency_key else refusal
 
 
 def refuse_field(error: BadField) -> Refusal:
--- a/goldcreststair/components/caller_api/parsing.py
+++ b/goldcreststair/components/caller_api/parsing.py
@@ -16,7 +16,7 @@
 )
 from goldcreststair.components.online.const import DEFAULT_DEADLINE_MS, MAX_DEADLINE_MS
 from goldcreststair.errors import GoldcreststairError
-from goldcreststair.helpers.numbers import read_whole
+from goldcreststair.helpers.numbers import parse_unsigned
 
 PATH_CHAT: Final = "/v1/chat/completions"
 PREFIX_CHARACTERS: Final = 256
@@ -74,7 +74,7 @@
     text = headers.get(HEADER_DEADLINE, "")
     if not text:
         return Ok(DEFAULT_DEADLINE_MS)
-    number = read_whole(text)
+    number = parse_unsigned(text)
     if number is None or not 1 <= number <= MAX_DEADLINE_MS:
         message = f"must be a whole number from 1 to {MAX_DEADLINE_MS}"
         return Err(BadField(message, HEADER_DEADLINE))
--- a/goldcreststair/components/entry/service.py
+++ b/goldcreststair/components/entry/service.py
@@ -33,7 +33,7 @@
 """Callers keep an answer for up to so many of its lifetimes."""
 
 
-class Leaver(Protocol):
+class LeaveHandler(Protocol):
     """Work that a leaving daemon has to bring to its end or hand over."""
 
     def begin_leave(self) -> None:
@@ -57,7 +57,7 @@
         self._core = core
         self._section = core.blackboard.open_section(OWN_STATE, OwnState())
         self._links = core.get(FLEET_LINKS)
-        self._leavers: list[Leaver] = []
+        self._leavers: list[LeaveHandler] = []
         self._left = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
         self._unsubscribe: list[Callable[[], None]] = []
@@ -80,7 +80,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._tasks.clear()
 
-    def add_leaver(self, leaver: Leaver) -> None:
+    def add_leave_handler(self, leaver: LeaveHandler) -> None:
         """Let a leave wait for this work."""
         self._leavers.append(leaver)
 
--- a/goldcreststair/components/forwarding/recovery.py
+++ b/goldcreststair/components/forwarding/recovery.py
@@ -60,7 +60,7 @@
         return NextRun.GIVE_UP
     # A stream with events out goes on without the budget: to cut it would be the greater harm, and
     # it cannot storm, since the upstreams of one request are bounded.
-    if progress.last_event > 0 or error.not_run or budget.take():
+    if progress.last_event > 0 or error.not_run or budget.try_spend():
         return NextRun.ELSEWHERE
     return NextRun.GIVE_UP
 
--- a/goldcreststair/components/forwarding/relay.py
+++ b/goldcreststair/components/forwarding/relay.py
@@ -52,16 +52,16 @@
     @property
     def is_whole(self) -> bool:
         """Whether the present run's bytes end with a whole event and none is missing."""
-        return not self._gap and not self._splitter.has_rest
+        return not self._gap and not self._splitter.has_partial_event
 
-    def take_head(self, head: RunHead) -> None:
+    def on_head(self, head: RunHead) -> None:
         """Keep the head of the first success: the caller gets one, whichever run goes on."""
         self.progress_at = self._clock.now()
         self._on_head(head)
         if head.status == STATUS_OK and self._head is None:
             self._head = head
 
-    def take_data(self, chunk: bytes) -> Awaitable[None] | None:
+    def on_data(self, chunk: bytes) -> Awaitable[None] | None:
         """Pass on the events that this piece completes."""
         self.progress_at = self._clock.now()
         self._on_data()
@@ -89,7 +89,7 @@
             self._responder.begin(self._head)
 
     def _accept(self, number: int) -> bool:
-        if self._gap or self._splitter.is_broken:
+        if self._gap or self._splitter.is_oversized:
             return False
         self.run_events += 1
         # Shows as words missing or doubled in a caller's text after a stream went on elsewhere: the
--- a/goldcreststair/components/forwarding/request.py
+++ b/goldcreststair/components/forwarding/request.py
@@ -27,7 +27,11 @@
 )
 from goldcreststair.components.forwarding.refusals import log_refusal, refuse_for_now
 from goldcreststair.components.forwarding.relay import STATUS_OK, StreamRelay
-from goldcreststair.components.forwarding.watch import Evidence, SilenceWatch, SilenceWatcher
+from goldcreststair.components.forwarding.silence_detector import (
+    Evidence,
+    SilenceDetector,
+    SilenceMonitor,
+)
 from goldcreststair.components.placement.admission import CallerTime, decide_return
 from goldcreststair.components.placement.models import Placement, PlacementQuery
 from goldcreststair.components.placement.service import PLACEMENT
@@ -55,7 +59,7 @@
 
     core: GatewayCore
     budget: RetryBudget
-    watcher: SilenceWatcher
+    watcher: SilenceMonitor
 
 
 class ForwardedRequest:
@@ -88,7 +92,7 @@
 
     async def async_run(self) -> None:
         """Run until there is a final answer."""
-        self._budget.earn()
+        self._budget.record_request()
         following = NextRun.ELSEWHERE
         while True:
             placed = await self._async_place(following)
@@ -209,7 +213,7 @@
             lambda: self._core.runner.pool.async_warm(entry.address, CHECK_TIMEOUT_MS),
             self._may_leave_run,
         )
-        watch = SilenceWatch(self._clock, self._relay, placement.expected_ms, evidence)
+        watch = SilenceDetector(self._clock, self._relay, placement.expected_ms, evidence)
         ended = await self._watcher.async_follow(run, watch)
         if ended is None:
             message = f"upstream fell silent: {watch.describe()}"
--- a/goldcreststair/components/forwarding/service.py
+++ b/goldcreststair/components/forwarding/service.py
@@ -20,7 +20,7 @@
 from goldcreststair.components.forwarding.protocols import Responder
 from goldcreststair.components.forwarding.refusals import log_refusal, refuse_for_now
 from goldcreststair.components.forwarding.request import ForwardedRequest, ForwardingTools
-from goldcreststair.components.forwarding.watch import SilenceWatcher
+from goldcreststair.components.forwarding.silence_detector import SilenceMonitor
 from goldcreststair.components.jobs.desk import JOB_DESK
 from goldcreststair.components.placement.service import PLACEMENT
 from goldcreststair.components.quotas.service import QUOTAS
@@ -65,7 +65,7 @@
         self._placement = core.get(PLACEMENT)
         self._durations = RequestDurations(core.clock)
         self.budget = RetryBudget()
-        self._tools = ForwardingTools(core, self.budget, SilenceWatcher(core.clock))
+        self._tools = ForwardingTools(core, self.budget, SilenceMonitor(core.clock))
 
     async def async_start(self) -> None:
         """Do nothing; requests come from the caller's side."""
--- a/goldcreststair/components/forwarding/watch.py
+++ b/goldcreststair/components/forwarding/silence_detector.py
@@ -21,7 +21,7 @@
 T = TypeVar("T")
 
 
-class Silence(StrEnum):
+class SilenceVerdict(StrEnum):
     """What the silence of a run says of its upstream."""
 
     NONE = "none"
@@ -44,7 +44,7 @@
     """Returns whether the request could go on at another upstream."""
 
 
-class SilenceWatch:
+class SilenceDetector:
     """Decides by what a run and its upstream last sent; no I/O."""
 
     def __init__(
@@ -71,28 +71,28 @@
             f"{self._relay.run_events} events"
         )
 
-    def note_check(self, *, accepted: bool) -> Silence:
+    def note_check(self, *, accepted: bool) -> SilenceVerdict:
         """Take whether the upstream accepts connections; returns what follows."""
         if not accepted:
-            return self._weigh(Silence.CERTAIN)
+            return self._require_alternative(SilenceVerdict.CERTAIN)
         self._accepted_at = self._clock.now()
-        return Silence.NONE
+        return SilenceVerdict.NONE
 
-    def judge(self) -> Silence:
+    def judge(self) -> SilenceVerdict:
         """Return whether the upstream seems gone, and its run had better be left."""
-        return self._weigh(self._judge_silence())
+        return self._require_alternative(self._judge_silence())
 
-    def _weigh(self, silence: Silence) -> Silence:
+    def _require_alternative(self, silence: SilenceVerdict) -> SilenceVerdict:
         # Silence is a reason to move a request, not to end it: a caller whose last run is left gets
         # nothing, where a slow upstream would have gone on.
-        if silence is Silence.NONE or self._clock.now() < self._stays_until:
-            return Silence.NONE
+        if silence is SilenceVerdict.NONE or self._clock.now() < self._stays_until:
+            return SilenceVerdict.NONE
         if not self.evidence.may_leave():
             self._stays_until = Millis(self._clock.now() + STAY_MS)
-            return Silence.NONE
+            return SilenceVerdict.NONE
         return silence
 
-    def _judge_silence(self) -> Silence:
+    def _judge_silence(self) -> SilenceVerdict:
         now = self._clock.now()
         late_ms = now - self._looked_at - WATCH_MS
         self._looked_at = now
@@ -104,16 +104,16 @@
         self._upstream_quiet_ms = now - max(self._counted_from, self.evidence.read_progress())
         patience_ms, long_ms = self._read_patience()
         if self._quiet_ms > long_ms:
-            return Silence.CERTAIN
+            return SilenceVerdict.CERTAIN
         if min(self._quiet_ms, self._upstream_quiet_ms) <= patience_ms:
-            return Silence.NONE
+            return SilenceVerdict.NONE
         if self.evidence.has_witness():
-            return Silence.CERTAIN
+            return SilenceVerdict.CERTAIN
         # Shows as upstreams that are only full, taken for dead by one VM of hundreds after the other,
         # and as requests run twice: a VM that has no other run there cannot tell a queue from a crash.
         if self._accepted_at is not None and self._accepted_at > self._relay.progress_at:
-            return Silence.NONE
-        return Silence.DOUBTFUL
+            return SilenceVerdict.NONE
+        return SilenceVerdict.DOUBTFUL
 
     def _read_patience(self) -> tuple[float, float]:
         if self._relay.run_events:
@@ -121,17 +121,17 @@
         return self._expected_ms + FIRST_PATIENCE_MS, self._expected_ms + FIRST_LONG_MS
 
 
-class SilenceWatcher:
+class SilenceMonitor:
     """Looks at all runs of this daemon at once, with one timer while there are any."""
 
     def __init__(self, clock: Clock) -> None:
         """Watch nothing."""
         self._clock = clock
-        self._watched: dict[asyncio.Future[bool], SilenceWatch] = {}
+        self._watched: dict[asyncio.Future[bool], SilenceDetector] = {}
         self._timer: TimerHandle | None = None
         self._checks: dict[asyncio.Future[bool], asyncio.Task[None]] = {}
 
-    async def async_follow(self, task: "asyncio.Task[T]", watch: SilenceWatch) -> T | None:
+    async def async_follow(self, task: "asyncio.Task[T]", watch: SilenceDetector) -> T | None:
         """Return the task's result, or None after ending it for its silence."""
         ended: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         task.add_done_callback(lambda _: _settle(ended, silent=False))
@@ -158,15 +158,15 @@
         self._timer = None
         for ended, watch in tuple(self._watched.items()):
             silence = watch.judge()
-            if silence is Silence.CERTAIN:
+            if silence is SilenceVerdict.CERTAIN:
                 _settle(ended, silent=True)
-            elif silence is Silence.DOUBTFUL and ended not in self._checks:
+            elif silence is SilenceVerdict.DOUBTFUL and ended not in self._checks:
                 self._checks[ended] = asyncio.create_task(self._async_check(ended, watch))
         self._arm()
 
-    async def _async_check(self, ended: "asyncio.Future[bool]", watch: SilenceWatch) -> None:
+    async def _async_check(self, ended: "asyncio.Future[bool]", watch: SilenceDetector) -> None:
         accepted = await watch.evidence.async_check()
-        if watch.note_check(accepted=accepted) is Silence.CERTAIN:
+        if watch.note_check(accepted=accepted) is SilenceVerdict.CERTAIN:
             _settle(ended, silent=True)
         self._checks.pop(ended, None)
 
--- a/goldcreststair/components/jobs/__init__.py
+++ b/goldcreststair/components/jobs/__init__.py
@@ -21,5 +21,5 @@
     remote = RemoteJobs(core.get(FLEET_LINKS), core.random.choice, partial(keep_inside, core))
     core.offer(JOB_FRONT, JobFront(service, remote, core.store_contact))
     core.offer(JOB_DESK, JobDesk(core))
-    core.get(ENTRY).add_leaver(service)
+    core.get(ENTRY).add_leave_handler(service)
     return service
--- a/goldcreststair/components/jobs/desk.py
+++ b/goldcreststair/components/jobs/desk.py
@@ -11,7 +11,7 @@
 from goldcreststair.components.jobs.models import JobKey, ResultPage, Submission
 from goldcreststair.components.jobs.protocols import JOB_FRONT
 from goldcreststair.components.requests.admission import identify_customer
-from goldcreststair.components.requests.const import READY_RETRY_MS
+from goldcreststair.components.requests.const import NOT_READY_RETRY_MS
 from goldcreststair.components.requests.models import AdmittedRequest
 from goldcreststair.const import MS_PER_SECOND
 from goldcreststair.core import ComponentKey
@@ -75,7 +75,7 @@
         catalogue = self._core.blackboard.read(CATALOGUE)
         if not catalogue.version or self._links.is_isolated():
             message = "no catalogue yet, or cut off from the fleet"
-            return Err(Refusal(message, RefusalCode.NOT_READY, 503, True, READY_RETRY_MS))
+            return Err(Refusal(message, RefusalCode.NOT_READY, 503, True, NOT_READY_RETRY_MS))
         customer = identify_customer(catalogue, key)
         return customer.map(lambda found: JobKey(found.name, job))
 
--- a/goldcreststair/components/jobs/runner.py
+++ b/goldcreststair/components/jobs/runner.py
@@ -48,14 +48,14 @@
     @property
     def is_whole(self) -> bool:
         """Whether the bytes end with a whole event and none is missing."""
-        return not self._gap and not self._splitter.has_rest
+        return not self._gap and not self._splitter.has_partial_event
 
-    def take_head(self, head: RunHead) -> None:
+    def on_head(self, head: RunHead) -> None:
         """Note a sign of life."""
         self.progress_at = self._clock.now()
         self._on_head(head)
 
-    def take_data(self, chunk: bytes) -> None:
+    def on_data(self, chunk: bytes) -> None:
         """Keep the events that this piece completes."""
         if self._closed:
             return
--- a/goldcreststair/components/online/calls.py
+++ b/goldcreststair/components/online/calls.py
@@ -13,7 +13,7 @@
 from goldcreststair.helpers.refusals import Refusal, RefusalCode
 from goldcreststair.helpers.retry_budget import RetryBudget
 from goldcreststair.upstreams.errors import UpstreamError, UpstreamFailure
-from goldcreststair.upstreams.models import ServiceAnswer, ServiceCall, Upstream
+from goldcreststair.upstreams.models import ServiceCall, ServiceResponse, Upstream
 
 
 class ServiceRunner:
@@ -31,7 +31,7 @@
         self, request: ServiceRequest, deadline_at: Millis
     ) -> Result[Outcome, Refusal]:
         """Run one call to its whole answer."""
-        self._budget.earn()
+        self._budget.record_request()
         progress = RunProgress(request.repeatable)
         excluded: frozenset[str] = frozenset()
         customer = request.identity.customer
@@ -58,7 +58,7 @@
 
     async def _async_attempt(
         self, request: ServiceRequest, upstream: Upstream, deadline_at: Millis
-    ) -> Result[ServiceAnswer, UpstreamError]:
+    ) -> Result[ServiceResponse, UpstreamError]:
         call = ServiceCall(
             request_id=request.request_id,
             method=request.method,
--- a/goldcreststair/components/online/claiming.py
+++ b/goldcreststair/components/online/claiming.py
@@ -25,7 +25,7 @@
     SETTLE_TIMEOUT_MS,
 )
 from goldcreststair.core import Core
-from goldcreststair.helpers.refusals import Refusal, RefusalCode, doubt_earlier_sends
+from goldcreststair.helpers.refusals import Refusal, RefusalCode, clear_not_run
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -71,7 +71,7 @@
             refusal = refuse_claim(claimed.err_value)
             unread = claimed.err_value.problem is ClaimProblem.UNAVAILABLE
             doubtful = unread and request.is_caller_key
-            return Err(doubt_earlier_sends(refusal) if doubtful else refusal)
+            return Err(clear_not_run(refusal) if doubtful else refusal)
         match claimed.ok_value:
             case Finished(outcome):
                 return Ok(outcome)
--- a/goldcreststair/components/online/generation.py
+++ b/goldcreststair/components/online/generation.py
@@ -66,7 +66,7 @@
         self, request: GenerateRequest, recorder: StreamRecorder, deadline_at: Millis
     ) -> Result[GenerateEnd, Refusal]:
         """Run one request to its whole answer."""
-        self._budget.earn()
+        self._budget.record_request()
         run = _GenerationRun(request, recorder, deadline_at)
         if self._quarantine.is_quarantined(run.fingerprint):
             return Err(_refuse_quarantined(run))
--- a/goldcreststair/components/online/recovery.py
+++ b/goldcreststair/components/online/recovery.py
@@ -91,7 +91,7 @@
 def _may_run_again(progress: RunProgress, budget: RetryBudget) -> bool:
     # A stream with tokens out goes on without the budget: to cut it would be the greater harm,
     # and it cannot storm, since the attempts of each stream are bounded.
-    return progress.last_index >= 0 or budget.take()
+    return progress.last_index >= 0 or budget.try_spend()
 
 
 def _limit_waits(progress: RunProgress) -> int:
--- a/goldcreststair/components/online/service.py
+++ b/goldcreststair/components/online/service.py
@@ -20,7 +20,7 @@
 from goldcreststair.components.online.stream import StreamRecorder
 from goldcreststair.components.routing.protocols import ROUTER
 from goldcreststair.core import ComponentKey, Core
-from goldcreststair.helpers.refusals import Refusal, RefusalCode, doubt_earlier_sends
+from goldcreststair.helpers.refusals import Refusal, RefusalCode, clear_not_run
 from goldcreststair.journal import Subject
 from goldcreststair.upstreams.models import GenerateEnd, StreamChunk
 from goldcreststair.upstreams.protocols import StreamSink
@@ -145,7 +145,7 @@
         error = admitted.err_value
         code = RefusalCode.RATE_LIMITED
         refusal = Refusal(error.message, code, 429, True, error.retry_after_ms)
-        return Err(doubt_earlier_sends(refusal) if idempotency_key else refusal)
+        return Err(clear_not_run(refusal) if idempotency_key else refusal)
 
     async def _async_generate(
         self, request: GenerateRequest, sink: StreamSink
--- a/goldcreststair/components/placement/service.py
+++ b/goldcreststair/components/placement/service.py
@@ -103,7 +103,7 @@
             extra = {"upstream": entry.name, "address": entry.address, "met_by": subject}
             _LOGGER.warning("Upstream down", extra=extra | {"reason": reason})
         self.controller.note_down(entry.name)
-        self._core.runner.pool.forget(entry.address)
+        self._core.runner.pool.close_idle(entry.address)
         self._links.announce()
 
     def note_head(self, name: str, head: RunHead) -> None:
--- a/goldcreststair/components/requests/admission.py
+++ b/goldcreststair/components/requests/admission.py
@@ -7,7 +7,7 @@
 from goldcreststair.components.requests.const import (
     AWAY_RETRY_SHARE,
     DEFAULT_DEADLINE_MS,
-    READY_RETRY_MS,
+    NOT_READY_RETRY_MS,
 )
 from goldcreststair.components.requests.models import CallerRequest
 from goldcreststair.helpers.api_keys import hash_key
@@ -75,5 +75,5 @@
     (500, 1500)
     """
     if not store_away:
-        return READY_RETRY_MS
-    return max(READY_RETRY_MS, int(deadline_ms * AWAY_RETRY_SHARE))
+        return NOT_READY_RETRY_MS
+    return max(NOT_READY_RETRY_MS, int(deadline_ms * AWAY_RETRY_SHARE))
--- a/goldcreststair/helpers/numbers.py
+++ b/goldcreststair/helpers/numbers.py
@@ -6,10 +6,10 @@
 """Longer numbers are read as none: an integer of any length takes time, and raises beyond a limit."""
 
 
-def read_whole(text: str | bytes) -> int | None:
+def parse_unsigned(text: str | bytes) -> int | None:
     """Return a number without a sign, or None if the text is anything else.
 
-    >>> read_whole("12"), read_whole(b"007"), read_whole("-1"), read_whole("²"), read_whole("9" * 19)
+    >>> parse_unsigned("12"), parse_unsigned(b"007"), parse_unsigned("-1"), parse_unsigned("²"), parse_unsigned("9" * 19)
     (12, 7, None, None, None)
     """
     if not (text.isascii() and text.isdigit()) or len(text) > MAX_DIGITS:
--- a/goldcreststair/helpers/refusals.py
+++ b/goldcreststair/helpers/refusals.py
@@ -42,7 +42,7 @@
     """The upstream's own error answer, passed on as it is."""
 
 
-def doubt_earlier_sends(refusal: Refusal) -> Refusal:
+def clear_not_run(refusal: Refusal) -> Refusal:
     """Return a refusal, given before the claim was read, that is true of all sends of its key.
 
     A caller whose first send ran and whose connection broke sends again under the same key. Were
--- a/goldcreststair/helpers/retry_budget.py
+++ b/goldcreststair/helpers/retry_budget.py
@@ -12,9 +12,9 @@
     """A token bucket that each request fills by a fraction and each repeated run empties by one.
 
     >>> budget = RetryBudget(fraction=0.5, capacity=1.0)
-    >>> budget.take(), budget.take()
+    >>> budget.try_spend(), budget.try_spend()
     (True, False)
-    >>> budget.earn(); budget.earn(); budget.take()
+    >>> budget.record_request(); budget.record_request(); budget.try_spend()
     True
     """
 
@@ -26,7 +26,7 @@
         self._capacity = capacity
         self._level = capacity
 
-    def earn(self) -> None:
+    def record_request(self) -> None:
         """Count one request."""
         self._level = min(self._capacity, self._level + self._fraction)
 
@@ -35,7 +35,7 @@
         """Whether no repeated run is left."""
         return self._level < 1
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Spend one repeated run if there is one."""
         if self.is_spent:
             return False
--- a/goldcreststair/http_connection.py
+++ b/goldcreststair/http_connection.py
@@ -19,10 +19,10 @@
 
 from goldcreststair.http_exchange import (
     READ_BYTES,
-    Answer,
     Exchange,
     ExchangeError,
     ExchangeFailure,
+    HttpResponse,
     OnData,
     OnHead,
 )
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHooks:
+class ResponseHooks:
     """What to do with an answer while it arrives."""
 
     on_head: OnHead | None = None
@@ -48,8 +48,8 @@
 class _Reading:
     """Reads the answer to one request; called back by the parser."""
 
-    def __init__(self, exchange: Exchange, hooks: AnswerHooks) -> None:
-        self.done: asyncio.Future[Result[Answer, ExchangeError]]
+    def __init__(self, exchange: Exchange, hooks: ResponseHooks) -> None:
+        self.done: asyncio.Future[Result[HttpResponse, ExchangeError]]
         self.done = asyncio.get_running_loop().create_future()
         self.whole = False
         """Whether the answer has ended as its head said."""
@@ -58,7 +58,7 @@
         """Whether another answer has begun after the whole one."""
         self.parser = httptools.HttpResponseParser(self)
         self._hooks = hooks
-        self._max_bytes = exchange.max_answer_bytes
+        self._max_bytes = exchange.max_response_bytes
         self._status = 0
         self._headers = HTTPHeaders()
         self._has_head = False
@@ -125,7 +125,7 @@
     def finish(self) -> None:
         """Settle a whole answer."""
         if not self.done.done():
-            answer = Answer(self._status, self._headers, b"".join(self._pieces))
+            answer = HttpResponse(self._status, self._headers, b"".join(self._pieces))
             self.done.set_result(Ok(answer))
 
     def end(self, error: BaseException | None) -> None:
@@ -148,7 +148,7 @@
             self.done.set_exception(error)
 
 
-class KeptConnection(asyncio.BufferedProtocol):
+class PersistentConnection(asyncio.BufferedProtocol):
     """A connection that serves one request at a time."""
 
     def __init__(self, raw: socket.socket) -> None:
@@ -255,8 +255,8 @@
             self._raw.close()
 
     async def async_ask(
-        self, exchange: Exchange, hooks: AnswerHooks
-    ) -> tuple[Result[Answer, ExchangeError], bool]:
+        self, exchange: Exchange, hooks: ResponseHooks
+    ) -> tuple[Result[HttpResponse, ExchangeError], bool]:
         """Send a request; returns its answer, and whether the connection may be used again."""
         reading = self._reading = _Reading(exchange, hooks)
         try:
--- a/goldcreststair/http_exchange.py
+++ b/goldcreststair/http_exchange.py
@@ -29,7 +29,7 @@
 from goldcreststair.errors import GoldcreststairError
 
 DEFAULT_CONNECT_TIMEOUT_MS: Final = 1000
-MAX_ANSWER_BYTES: Final = 256 * 1024 * 1024
+MAX_RESPONSE_BYTES: Final = 256 * 1024 * 1024
 READ_BYTES: Final = 64 * 1024
 
 
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class HttpResponse:
     """The head of an answer, and its body unless it was streamed away."""
 
     status: int
@@ -82,7 +82,7 @@
     idle_timeout_ms: int = 0
     """Longest wait between two pieces of the answer; 0 for no such limit."""
     connect_timeout_ms: int = DEFAULT_CONNECT_TIMEOUT_MS
-    max_answer_bytes: int = MAX_ANSWER_BYTES
+    max_response_bytes: int = MAX_RESPONSE_BYTES
     """A longer body ends the exchange as broken."""
 
 
@@ -130,7 +130,7 @@
 
 async def async_exchange(
     exchange: Exchange, on_head: OnHead | None = None, on_data: OnData | None = None
-) -> Result[Answer, ExchangeError]:
+) -> Result[HttpResponse, ExchangeError]:
     """Send one request and read its answer.
 
     With `on_data` the body of a 200 answer goes there piece by piece. Cancelling the coroutine
@@ -155,7 +155,7 @@
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     raw = socket.socket(family, socket.SOCK_STREAM)
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    stream = IOStream(raw, max_buffer_size=MAX_ANSWER_BYTES)
+    stream = IOStream(raw, max_buffer_size=MAX_RESPONSE_BYTES)
     try:
         async with asyncio.timeout(exchange.connect_timeout_ms / MS_PER_SECOND):
             await stream.connect((host.strip("[]"), int(port)))
@@ -170,9 +170,9 @@
 
 async def _async_talk(
     stream: IOStream, exchange: Exchange, reader: _AnswerReader
-) -> Result[Answer, ExchangeError]:
+) -> Result[HttpResponse, ExchangeError]:
     parameters = HTTP1ConnectionParameters(
-        no_keep_alive=True, max_body_size=exchange.max_answer_bytes, chunk_size=READ_BYTES
+        no_keep_alive=True, max_body_size=exchange.max_response_bytes, chunk_size=READ_BYTES
     )
     connection = HTTP1Connection(stream, True, parameters)
     headers = HTTPHeaders(dict(exchange.headers))
@@ -191,7 +191,7 @@
         return Err(ExchangeError("no progress", ExchangeFailure.IDLE))
     if not reader.whole:
         return Err(ExchangeError("connection closed early", ExchangeFailure.BROKEN))
-    return Ok(Answer(reader.status, reader.headers, b"".join(reader.pieces)))
+    return Ok(HttpResponse(reader.status, reader.headers, b"".join(reader.pieces)))
 
 
 async def _async_wait(
--- a/goldcreststair/http_pool.py
+++ b/goldcreststair/http_pool.py
@@ -13,9 +13,9 @@
 
 from goldcreststair.clock import Clock, Millis
 from goldcreststair.const import MS_PER_SECOND
-from goldcreststair.helpers.numbers import read_whole
-from goldcreststair.http_connection import AnswerHooks, KeptConnection
-from goldcreststair.http_exchange import Answer, Exchange, ExchangeError, ExchangeFailure
+from goldcreststair.helpers.numbers import parse_unsigned
+from goldcreststair.http_connection import PersistentConnection, ResponseHooks
+from goldcreststair.http_exchange import Exchange, ExchangeError, ExchangeFailure, HttpResponse
 
 USER_TIMEOUT_MS: Final = 2000
 """Unacknowledged bytes end a connection after so long: a path that swallows them shows no reset."""
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class _Kept:
-    connection: KeptConnection
+    connection: PersistentConnection
     idle_until: Millis
 
 
@@ -79,9 +79,9 @@
     def close(self) -> None:
         """Close all idle connections."""
         for address in tuple(self._sites):
-            self.forget(address)
+            self.close_idle(address)
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address, as its server is gone or suspect."""
         site = self._sites.get(address)
         if site is None:
@@ -98,8 +98,8 @@
         return True
 
     async def async_exchange(
-        self, exchange: Exchange, hooks: AnswerHooks
-    ) -> Result[Answer, ExchangeError]:
+        self, exchange: Exchange, hooks: ResponseHooks
+    ) -> Result[HttpResponse, ExchangeError]:
         """Send one request and read its answer; cancelling closes the connection at once."""
         connection = self._take_idle(exchange.address)
         if connection is None:
@@ -128,7 +128,7 @@
                 # answer of the next request.
                 self._close(exchange.address, connection)
 
-    def _take_idle(self, address: str) -> KeptConnection | None:
+    def _take_idle(self, address: str) -> PersistentConnection | None:
         site = self._sites.get(address)
         while site is not None and site.idle:
             kept = site.idle.pop()
@@ -153,7 +153,7 @@
             else:
                 self._close(address, kept.connection)
 
-    def _keep(self, address: str, connection: KeptConnection, idle_ms: int) -> None:
+    def _keep(self, address: str, connection: PersistentConnection, idle_ms: int) -> None:
         if idle_ms <= 0:
             self._close(address, connection)
             return
@@ -163,7 +163,7 @@
         while site.idle and site.idle[0].idle_until <= now:
             self._close(address, site.idle.pop(0).connection)
 
-    def _close(self, address: str, connection: KeptConnection) -> None:
+    def _close(self, address: str, connection: PersistentConnection) -> None:
         connection.close()
         site = self._sites[address]
         site.open -= 1
@@ -172,11 +172,11 @@
 
     async def _async_open(
         self, exchange: Exchange, connect_timeout_ms: int
-    ) -> Result[KeptConnection, ExchangeError]:
+    ) -> Result[PersistentConnection, ExchangeError]:
         host, _, port = exchange.address.rpartition(":")
         raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         _set_options(raw)
-        connection = KeptConnection(raw)
+        connection = PersistentConnection(raw)
         self._sites.setdefault(exchange.address, _Site()).open += 1
         self._opened += 1
         loop = asyncio.get_running_loop()
@@ -211,7 +211,7 @@
     """
     for parameter in headers.get("Keep-Alive", "").split(","):
         name, _, value = parameter.strip().partition("=")
-        seconds = read_whole(value) if name.lower() == "timeout" else None
+        seconds = parse_unsigned(value) if name.lower() == "timeout" else None
         if seconds is not None:
             return seconds * MS_PER_SECOND - IDLE_MARGIN_MS
     return DEFAULT_IDLE_MS
--- a/goldcreststair/store/http.py
+++ b/goldcreststair/store/http.py
@@ -8,7 +8,7 @@
 import orjson
 from result import Err, Ok, Result
 
-from goldcreststair.http_exchange import Answer, Exchange, ExchangeFailure, async_exchange
+from goldcreststair.http_exchange import Exchange, ExchangeFailure, HttpResponse, async_exchange
 from goldcreststair.store.errors import (
     ObjectMissing,
     PlatformError,
@@ -37,7 +37,7 @@
 
     async def async_send(
         self, method: str, path: str, body: bytes = b""
-    ) -> Result[Answer, PlatformError]:
+    ) -> Result[HttpResponse, PlatformError]:
         """Return any answer but a refusal; a refusal or failed connection had no effect."""
         exchange = Exchange(self._address, method, path, self._timeout_ms, body=body)
         outcome = await async_exchange(exchange)
@@ -49,7 +49,7 @@
             return Err(PlatformUnavailable(f"platform answered {outcome.ok_value.status}"))
         return outcome
 
-    async def async_call(self, path: str, request: Any) -> Result[Answer, PlatformError]:
+    async def async_call(self, path: str, request: Any) -> Result[HttpResponse, PlatformError]:
         """POST a JSON request."""
         return await self.async_send("POST", path, orjson.dumps(request))
 
@@ -65,7 +65,7 @@
     return {"key": write.key, "expected_version": write.expected_version, "value": value}
 
 
-def _refuse(answer: Answer) -> Err[PlatformError]:
+def _refuse(answer: HttpResponse) -> Err[PlatformError]:
     return Err(PlatformError(f"platform answered {answer.status}"))
 
 
@@ -152,7 +152,7 @@
     return "/objects/" + quote(name, safe="/")
 
 
-def _check(outcome: Result[Answer, PlatformError]) -> Result[None, PlatformError]:
+def _check(outcome: Result[HttpResponse, PlatformError]) -> Result[None, PlatformError]:
     if isinstance(outcome, Err):
         return outcome
     return Ok(None) if outcome.ok_value.status == STATUS_OK else _refuse(outcome.ok_value)
--- a/goldcreststair/upstreams/events.py
+++ b/goldcreststair/upstreams/events.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from goldcreststair.helpers.numbers import read_whole
+from goldcreststair.helpers.numbers import parse_unsigned
 
 FIELD_ID: Final = b"id:"
 FIELD_DATA: Final = b"data:"
@@ -30,9 +30,9 @@
     >>> splitter = EventSplitter()
     >>> [event.number for event in splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")]
     [1]
-    >>> splitter.has_rest
+    >>> splitter.has_partial_event
     True
-    >>> [event.data for event in splitter.feed(b"ta: b\n\n")], splitter.has_rest
+    >>> [event.data for event in splitter.feed(b"ta: b\n\n")], splitter.has_partial_event
     ([b'b'], False)
     """
 
@@ -41,12 +41,12 @@
         self._rest = b""
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Return whether an event has begun and not ended."""
         return bool(self._rest)
 
     @property
-    def is_broken(self) -> bool:
+    def is_oversized(self) -> bool:
         """Return whether what has begun cannot be an event."""
         return len(self._rest) > MAX_EVENT_BYTES
 
@@ -64,7 +64,7 @@
             data.append(_read_value(line, FIELD_DATA))
         elif line.startswith(FIELD_ID):
             value = _read_value(line, FIELD_ID)
-            number = read_whole(value) or 0
+            number = parse_unsigned(value) or 0
     return StreamEvent(raw + EVENT_END, number, b"\n".join(data))
 
 
--- a/goldcreststair/upstreams/http_engine.py
+++ b/goldcreststair/upstreams/http_engine.py
@@ -9,11 +9,11 @@
 
 from goldcreststair.const import HEADER_REQUEST_ID
 from goldcreststair.http_exchange import (
-    MAX_ANSWER_BYTES,
-    Answer,
+    MAX_RESPONSE_BYTES,
     Exchange,
     ExchangeError,
     ExchangeFailure,
+    HttpResponse,
     async_exchange,
 )
 from goldcreststair.upstreams.errors import UpstreamError, UpstreamFailure
@@ -58,18 +58,18 @@
     """Bounds of a call that is no generation."""
 
     timeout_ms: int = CONTROL_TIMEOUT_MS
-    max_bytes: int = MAX_ANSWER_BYTES
+    max_bytes: int = MAX_RESPONSE_BYTES
 
 
 DEFAULT_LIMITS: Final = ControlLimits()
 
 
-def turn_exchange_error(error: ExchangeError) -> UpstreamError:
+def convert_exchange_error(error: ExchangeError) -> UpstreamError:
     """Turn an error of the HTTP layer into one of this layer."""
     return UpstreamError(error.message, _FAILURES[error.failure])
 
 
-def turn_status(answer: Answer) -> UpstreamError:
+def convert_error_response(answer: HttpResponse) -> UpstreamError:
     """Turn an answer that is no success into an error."""
     if answer.headers.get(HEADER_NOT_RUN) == "true":
         return UpstreamError("upstream did not run it", UpstreamFailure.REFUSED, answer.status)
@@ -135,10 +135,10 @@
         if reader.crossed:
             return Err(UpstreamError("answer of another request", UpstreamFailure.CROSSED))
         if isinstance(outcome, Err):
-            return Err(turn_exchange_error(outcome.err_value))
+            return Err(convert_exchange_error(outcome.err_value))
         answer = outcome.ok_value
         if answer.status != STATUS_OK:
-            return Err(turn_status(answer))
+            return Err(convert_error_response(answer))
         if not call.stream:
             return _read_whole(answer)
         if not reader.ended:
@@ -224,7 +224,7 @@
     return max(WHOLE_IDLE_TIMEOUT_MS, call.timeout_ms // WHOLE_IDLE_PARTS)
 
 
-def _read_whole(answer: Answer) -> Result[GenerateEnd, UpstreamError]:
+def _read_whole(answer: HttpResponse) -> Result[GenerateEnd, UpstreamError]:
     try:
         parsed: dict[str, Any] = orjson.loads(answer.body)
         tokens = int(parsed["usage"]["completion_tokens"])
@@ -244,18 +244,18 @@
     path: str,
     body: bytes = b"",
     limits: ControlLimits = DEFAULT_LIMITS,
-) -> Result[Answer, UpstreamError]:
+) -> Result[HttpResponse, UpstreamError]:
     exchange = Exchange(
         upstream.address,
         method,
         path,
         limits.timeout_ms,
         body=body,
-        max_answer_bytes=limits.max_bytes,
+        max_response_bytes=limits.max_bytes,
     )
     outcome = await async_exchange(exchange)
     if isinstance(outcome, Err):
-        return Err(turn_exchange_error(outcome.err_value))
+        return Err(convert_exchange_error(outcome.err_value))
     if outcome.ok_value.status != STATUS_OK:
-        return Err(turn_status(outcome.ok_value))
+        return Err(convert_error_response(outcome.ok_value))
     return outcome
--- a/goldcreststair/upstreams/http_service.py
+++ b/goldcreststair/upstreams/http_service.py
@@ -5,8 +5,12 @@
 from goldcreststair.const import HEADER_REQUEST_ID
 from goldcreststair.http_exchange import Exchange, async_exchange
 from goldcreststair.upstreams.errors import UpstreamError, UpstreamFailure
-from goldcreststair.upstreams.http_engine import HEADER_NOT_RUN, turn_exchange_error, turn_status
-from goldcreststair.upstreams.models import ServiceAnswer, ServiceCall, Upstream
+from goldcreststair.upstreams.http_engine import (
+    HEADER_NOT_RUN,
+    convert_error_response,
+    convert_exchange_error,
+)
+from goldcreststair.upstreams.models import ServiceCall, ServiceResponse, Upstream
 
 
 class HttpServiceClient:
@@ -14,7 +18,7 @@
 
     async def async_call(
         self, upstream: Upstream, call: ServiceCall
-    ) -> Result[ServiceAnswer, UpstreamError]:
+    ) -> Result[ServiceResponse, UpstreamError]:
         """Make one call and return the whole answer, whatever its status."""
         exchange = Exchange(
             address=upstream.address,
@@ -26,12 +30,12 @@
         )
         outcome = await async_exchange(exchange)
         if isinstance(outcome, Err):
-            return Err(turn_exchange_error(outcome.err_value))
+            return Err(convert_exchange_error(outcome.err_value))
         answer = outcome.ok_value
         if answer.headers.get(HEADER_NOT_RUN) == "true":
-            return Err(turn_status(answer))
+            return Err(convert_error_response(answer))
         echoed = answer.headers.get(HEADER_REQUEST_ID, call.request_id)
         if echoed != call.request_id:
             return Err(UpstreamError("answer of another request", UpstreamFailure.CROSSED))
         content_type = answer.headers.get("Content-Type", "application/octet-stream")
-        return Ok(ServiceAnswer(answer.status, answer.body, content_type))
+        return Ok(ServiceResponse(answer.status, answer.body, content_type))
--- a/goldcreststair/upstreams/models.py
+++ b/goldcreststair/upstreams/models.py
@@ -91,7 +91,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceAnswer:
+class ServiceResponse:
     """A plain service's whole answer."""
 
     status: int
--- a/goldcreststair/upstreams/protocols.py
+++ b/goldcreststair/upstreams/protocols.py
@@ -12,8 +12,8 @@
     GenerateEnd,
     LoadReport,
     Order,
-    ServiceAnswer,
     ServiceCall,
+    ServiceResponse,
     StreamChunk,
     Upstream,
 )
@@ -68,7 +68,7 @@
 
     async def async_call(
         self, upstream: Upstream, call: ServiceCall
-    ) -> Result[ServiceAnswer, UpstreamError]:
+    ) -> Result[ServiceResponse, UpstreamError]:
         """Make one call and return the whole answer."""
 
 
--- a/goldcreststair/upstreams/runner.py
+++ b/goldcreststair/upstreams/runner.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 from tornado.httputil import HTTPHeaders
 
-from goldcreststair.http_connection import AnswerHooks
+from goldcreststair.http_connection import ResponseHooks
 from goldcreststair.http_exchange import Exchange, ExchangeError, ExchangeFailure
 from goldcreststair.http_pool import ConnectionPool
 from goldcreststair.upstreams.dialect import RunCall, RunHead, UpstreamDialect
@@ -33,10 +33,10 @@
     streams: bool
     """Whether the body of a success is taken piece by piece, and not whole at the end."""
 
-    def take_head(self, head: RunHead) -> None:
+    def on_head(self, head: RunHead) -> None:
         """Take the head of an answer that is this run's own."""
 
-    def take_data(self, chunk: bytes) -> Awaitable[None] | None:
+    def on_data(self, chunk: bytes) -> Awaitable[None] | None:
         """Take a piece of the body of a success."""
 
 
@@ -57,7 +57,7 @@
     def has_idle(self, address: str) -> bool:
         """Return whether the next request to an address needs no new connection."""
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address, as its server is gone or suspect."""
 
     async def async_warm(self, address: str, connect_timeout_ms: int) -> bool:
@@ -95,10 +95,10 @@
         dialect = self._dialect
         head: RunHead | None = None
 
-        def take_head(status: int, headers: HTTPHeaders) -> None:
+        def on_head(status: int, headers: HTTPHeaders) -> None:
             nonlocal head
             head = dialect.decode_head(status, headers)
-            sink.take_head(head)
+            sink.on_head(head)
 
         exchange = Exchange(
             address=address,
@@ -109,8 +109,8 @@
             body=call.body,
             connect_timeout_ms=CONNECT_TIMEOUT_MS,
         )
-        take_data = sink.take_data if sink.streams else None
-        hooks = AnswerHooks(take_head, take_data, lambda found: dialect.is_own(call, found))
+        on_data = sink.on_data if sink.streams else None
+        hooks = ResponseHooks(on_head, on_data, lambda found: dialect.is_own(call, found))
         answered = await self.pool.async_exchange(exchange, hooks)
         if isinstance(answered, Err):
             return Err(_turn_error(answered.err_value))
--- a/standins/engine/client.py
+++ b/standins/engine/client.py
@@ -16,8 +16,8 @@
     GenerateEnd,
     LoadReport,
     Order,
-    ServiceAnswer,
     ServiceCall,
+    ServiceResponse,
     StreamChunk,
     Upstream,
 )
@@ -171,7 +171,7 @@
 
     async def async_call(
         self, upstream: Upstream, call: ServiceCall
-    ) -> Result[ServiceAnswer, UpstreamError]:
+    ) -> Result[ServiceResponse, UpstreamError]:
         """Make one call to a plain service."""
         await asyncio.sleep(0)
         if upstream.address in self.unreachable:
@@ -187,7 +187,7 @@
             record.lose_answers -= 1
             return Err(UpstreamError("answer lost", UpstreamFailure.LOST))
         body = orjson.dumps({"path": call.path, "run": len(record.runs)})
-        return Ok(ServiceAnswer(200, body, "application/json"))
+        return Ok(ServiceResponse(200, body, "application/json"))
 
     def _refuse(self, engine: EngineModel, call: GenerateCall) -> UpstreamError | None:
         faults = engine.faults
--- a/standins/measure/overload_policies.py
+++ b/standins/measure/overload_policies.py
@@ -6,7 +6,7 @@
 from types import ModuleType
 from typing import Any, Final
 
-from goldcreststair.components.forwarding import watch
+from goldcreststair.components.forwarding import silence_detector
 from goldcreststair.components.jobs import (
     book,
     checkpoints,
@@ -57,9 +57,11 @@
     """Let nobody give way."""
 
 
-def hear_no_silence(_: watch.SilenceWatch, silence: watch.Silence) -> watch.Silence:
+def hear_no_silence(
+    _: silence_detector.SilenceDetector, silence: silence_detector.SilenceVerdict
+) -> silence_detector.SilenceVerdict:
     """Take no wait for silence: where everything queues, many are longer than any silence."""
-    return watch.Silence.NONE
+    return silence_detector.SilenceVerdict.NONE
 
 
 def find_none_silent(sink: runner.ItemSink, now: int, counted_from: int) -> bool:
@@ -75,7 +77,12 @@
     Switch("giving way", controller.PlacementController, "count_yielding", yield_none),
     Switch("giving way at once", controller.PlacementController, "choose_yielder", choose_none),
     Switch("late callers sent away", admission, "FRESH_SHARE", 2.0),
-    Switch("leaving silent requests", watch.SilenceWatch, "_weigh", hear_no_silence),
+    Switch(
+        "leaving silent requests",
+        silence_detector.SilenceDetector,
+        "_require_alternative",
+        hear_no_silence,
+    ),
     Switch("leaving silent items", runner, "_is_silent", find_none_silent),
 )
 """Requests and items queue at the engines, first come, first served, and nothing gives way."""
--- a/standins/run_engines.py
+++ b/standins/run_engines.py
@@ -92,7 +92,7 @@
         """Return that none is kept."""
         return False
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Do nothing."""
 
     def close(self) -> None:
@@ -163,7 +163,7 @@
         lost = await self._async_check(engine)
         if lost is not None:
             return Err(lost)
-        sink.take_head(head)
+        sink.on_head(head)
         if status != 200:
             return Ok(RunEnd(head, b"failed"))
         if not sink.streams:
@@ -176,7 +176,7 @@
                 return Err(lost)
             if call.request_id in self.events_of:
                 self.made[call.request_id] += 1
-            taken: Awaitable[None] | None = sink.take_data(make_event(call.request_id, number))
+            taken: Awaitable[None] | None = sink.on_data(make_event(call.request_id, number))
             if taken is not None:
                 await taken
             await self.clock.async_sleep(engine.event_ms)
--- a/tests/components/forwarding/test_silence.py
+++ b/tests/components/forwarding/test_silence.py
@@ -91,7 +91,7 @@
         member = await async_start(fleet, SMALL)
         forwarding = member.core.get(FORWARDING)
         assert isinstance(forwarding, ForwardingService)
-        while forwarding.budget.take():
+        while forwarding.budget.try_spend():
             pass
         sending = asyncio.create_task(async_send(fleet, member, "/stream/a", request_id="r"))
         await async_pause(fleet, await async_find_running(fleet, engines))
@@ -217,10 +217,10 @@
         placement.note_up(other.name)
         forwarding = member.core.get(FORWARDING)
         assert isinstance(forwarding, ForwardingService)
-        while forwarding.budget.take():
+        while forwarding.budget.try_spend():
             pass
         for _ in range(5):
-            forwarding.budget.earn()
+            forwarding.budget.record_request()
         await fleet.clock.async_sleep(PAUSE_MS)
         silent.silent = False
         assert all(answer.whole for answer in await asyncio.gather(*sending))
--- a/tests/components/jobs/test_execution.py
+++ b/tests/components/jobs/test_execution.py
@@ -250,7 +250,7 @@
         before = controller.runs.read_own(hash_name(engine.name)).batch
         member.core.get(PLACEMENT)._on_yield(engine.name, 1)
         made = round(sinks[0].events)  # type: ignore[attr-defined]
-        sinks[0].take_data(make_event("j-0", made + 1))
+        sinks[0].on_data(make_event("j-0", made + 1))
         await fleet.clock.async_sleep(5_000)
         assert before == 1 and made > 0
         assert [call.resume_after for call in engine.ran] == [0, made]
--- a/tests/faults/fleet.py
+++ b/tests/faults/fleet.py
@@ -25,8 +25,8 @@
 from goldcreststair.upstreams.models import (
     GenerateCall,
     GenerateEnd,
-    ServiceAnswer,
     ServiceCall,
+    ServiceResponse,
     StreamChunk,
     Upstream,
 )
@@ -98,7 +98,7 @@
 
     async def async_call(
         self, upstream: Upstream, call: ServiceCall
-    ) -> Result[ServiceAnswer, UpstreamError]:
+    ) -> Result[ServiceResponse, UpstreamError]:
         content = orjson.loads(call.body)
         if not self.services[upstream.address].refuse:
             repeatable = bool(content["repeatable"])
--- a/tests/platform_adapter/local.py
+++ b/tests/platform_adapter/local.py
@@ -221,7 +221,7 @@
     gateway = create_gateway(settings)
     await gateway.async_start()
     callers = CallerServer(gateway.core)
-    gateway.core.get(ENTRY).add_leaver(callers)
+    gateway.core.get(ENTRY).add_leave_handler(callers)
     callers.start(listen("127.0.0.1", int(front.rpartition(":")[2])))
     entry = HTTPServer(create_entry_application(gateway.core))
     entry.listen(int(entry_address.rpartition(":")[2]), "127.0.0.1")
--- a/tests/platform_adapter/test_runner.py
+++ b/tests/platform_adapter/test_runner.py
@@ -24,10 +24,10 @@
         self.head: RunHead | None = None
         self.data = b""
 
-    def take_head(self, head: RunHead) -> None:
+    def on_head(self, head: RunHead) -> None:
         self.head = head
 
-    def take_data(self, chunk: bytes) -> None:
+    def on_data(self, chunk: bytes) -> None:
         self.data += chunk
 
 
--- a/tests/test_http_connection.py
+++ b/tests/test_http_connection.py
@@ -8,8 +8,8 @@
 from result import Err, Ok, Result
 
 from goldcreststair.clock import LoopClock
-from goldcreststair.http_connection import AnswerHooks, KeptConnection
-from goldcreststair.http_exchange import Answer, Exchange, ExchangeError, ExchangeFailure
+from goldcreststair.http_connection import PersistentConnection, ResponseHooks
+from goldcreststair.http_exchange import Exchange, ExchangeError, ExchangeFailure, HttpResponse
 from goldcreststair.http_pool import ConnectionPool
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -50,7 +50,7 @@
         writer.close()
 
 
-Ask = Callable[[AnswerHooks], Awaitable[Result[Answer, ExchangeError]]]
+Ask = Callable[[ResponseHooks], Awaitable[Result[HttpResponse, ExchangeError]]]
 
 
 def run_server(
@@ -62,8 +62,8 @@
         address = await server.async_start()
         pool = ConnectionPool(LoopClock())
 
-        async def async_ask(hooks: AnswerHooks) -> Result[Answer, ExchangeError]:
-            exchange = Exchange(address, "GET", "/", 5_000, max_answer_bytes=limit)
+        async def async_ask(hooks: ResponseHooks) -> Result[HttpResponse, ExchangeError]:
+            exchange = Exchange(address, "GET", "/", 5_000, max_response_bytes=limit)
             return await pool.async_exchange(exchange, hooks)
 
         try:
@@ -99,7 +99,7 @@
 
     async def scenario(ask: Ask) -> None:
         for _ in range(2):
-            answer = await ask(AnswerHooks())
+            answer = await ask(ResponseHooks())
             assert isinstance(answer, Ok) and answer.ok_value.body == b"ab"
             await asyncio.sleep(0.06)
         assert (server.connections == 1) == kept
@@ -123,7 +123,7 @@
     """Guards against a part of an answer that passes for all of it."""
 
     async def scenario(ask: Ask) -> None:
-        answer = await ask(AnswerHooks())
+        answer = await ask(ResponseHooks())
         assert isinstance(answer, Err) and answer.err_value.failure is ExchangeFailure.BROKEN
 
     run_server(Server(part, closes=True), scenario)
@@ -131,7 +131,7 @@
 
 def test_an_answer_without_a_length_ends_with_its_connection() -> None:
     async def scenario(ask: Ask) -> None:
-        answer = await ask(AnswerHooks())
+        answer = await ask(ResponseHooks())
         assert isinstance(answer, Ok) and answer.ok_value.body == b"ab"
 
     run_server(Server(b"HTTP/1.1 200 OK\r\n\r\na", b"b", closes=True), scenario)
@@ -151,7 +151,7 @@
             taken.append(data)
             return async_hold()
 
-        asking = asyncio.ensure_future(ask(AnswerHooks(on_data=take)))
+        asking = asyncio.ensure_future(ask(ResponseHooks(on_data=take)))
         await asyncio.sleep(0.15)
         assert taken == [b"ab"]
         gate.set()
@@ -170,9 +170,9 @@
             raise RuntimeError("fault")
 
         with pytest.raises(RuntimeError, match="fault"):
-            await ask(AnswerHooks(on_head=take))
+            await ask(ResponseHooks(on_head=take))
         with pytest.raises(RuntimeError, match="fault"):
-            await ask(AnswerHooks(on_data=take))
+            await ask(ResponseHooks(on_data=take))
 
     run_server(Server(ANSWER), scenario)
 
@@ -183,11 +183,11 @@
     async def async_run() -> None:
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
-        connection = KeptConnection(ours)
+        connection = PersistentConnection(ours)
         loop = asyncio.get_running_loop()
         await loop.create_connection(lambda: connection, sock=ours)
         taken: list[bytes] = []
-        hooks = AnswerHooks(on_data=taken.append)
+        hooks = ResponseHooks(on_data=taken.append)
         asking = asyncio.ensure_future(connection.async_ask(Exchange("", "GET", "/", 1), hooks))
         await asyncio.sleep(0)
         theirs.sendall(HEAD + b"1\r\na\r\n")
