--- a/goldcreststair/components/forwarding/__init__.py
+++ b/goldcreststair/components/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Requests whose bodies are not read: from admission to the whole answer."""
+"""Forwarding of requests whose bodies are not parsed, from admission to the complete answer."""
 
 from goldcreststair.components.forwarding.protocols import FORWARDING
 from goldcreststair.components.forwarding.service import ForwardingService
@@ -7,7 +7,7 @@
 
 
 async def async_setup(core: GatewayCore) -> Component:
-    """Set up forwarding."""
+    """Set up the forwarding component."""
     service = ForwardingService(core)
     core.offer(FORWARDING, service)
     return service
--- a/goldcreststair/components/forwarding/const.py
+++ b/goldcreststair/components/forwarding/const.py
@@ -1,36 +1,39 @@
-"""Times of forwarding."""
+"""Timeouts and intervals of request forwarding."""
 
 from typing import Final
 
-WATCH_MS: Final = 25
-"""How often a run is looked at; a fifth of the shortest patience."""
-LATE_TICK_MS: Final = 40
-"""A look that comes so late means that this process was kept from reading, not the upstream from
-sending: the silence is counted anew."""
-GAP_PATIENCE_MS: Final = 130
-"""Silence within a stream, while the upstream sends nothing else either, after which it goes on
-elsewhere. Events come every 30 ms; taking a stream up again takes 60 to 80 ms, and callers count a
-pause of 250 ms as good."""
-GAP_LONG_MS: Final = 600
-"""The same where the upstream goes on sending to others: it may have put this run aside for lack of
-memory, which moving would not better."""
-FIRST_PATIENCE_MS: Final = 150
+SILENCE_CHECK_MS: Final = 25
+"""Interval between checks of the active runs for silence; a fifth of the shortest timeout."""
+LATE_CHECK_MS: Final = 40
+"""A check that is this late shows that this process was delayed in reading, not the upstream in
+sending: the silence is measured anew from that check."""
+GAP_TIMEOUT_MS: Final = 130
+"""Silence between two events of a stream, while the upstream sends nothing else either, after which
+the stream is resumed at another upstream. Events come every 30 ms, resuming takes 60 to 80 ms, and
+callers accept a pause of 250 ms."""
+BUSY_GAP_TIMEOUT_MS: Final = 600
+"""Silence between two events while the upstream still sends to other runs: it may have suspended this
+run for lack of memory, and resuming the stream elsewhere would not be faster."""
+FIRST_EVENT_TIMEOUT_MS: Final = 150
 """Silence beyond the expected time to the first event, while the upstream sends nothing at all."""
-FIRST_LONG_MS: Final = 1_000
-"""The same where the upstream sends to others: the request waits in its queue."""
-CHECK_TIMEOUT_MS: Final = 150
-"""An upstream that accepts no connection within this time is gone: one that is full accepts in a few ms."""
-SETTLE_LOOK_MS: Final = 25
-"""How often a request is looked at whose daemon has just started and does not hear the others yet."""
-PLACE_LOOK_MS: Final = 50
-"""How often a begun stream that no upstream can take at this moment is placed again."""
-MAX_PLACE_PAUSE_MS: Final = 400
-"""Longest pause between two upstreams that a begun stream asks, when many have turned it away."""
-STAY_MS: Final = 100
-"""A silent run that has nowhere to go is not asked for so long whether it has."""
-MIN_LEFT_MS: Final = 50
-"""A run with less time left than this cannot bring a first event."""
+BUSY_FIRST_EVENT_TIMEOUT_MS: Final = 1_000
+"""Silence beyond the expected time to the first event while the upstream sends to other runs: the
+request waits in the upstream's queue."""
+CONNECT_CHECK_TIMEOUT_MS: Final = 150
+"""An upstream that accepts no connection within this time is considered down; one that is full still
+accepts within a few ms."""
+SETTLE_POLL_MS: Final = 25
+"""Interval between admission attempts of a request while this daemon has just started and does not
+receive the other daemons' beacons yet."""
+PLACEMENT_RETRY_MS: Final = 50
+"""Interval between placement attempts of a begun stream while no upstream can take it."""
+MAX_PLACEMENT_DELAY_MS: Final = 400
+"""Longest delay between two placements of a begun stream after many upstreams have refused it."""
+NO_ALTERNATIVE_HOLD_MS: Final = 100
+"""Time after which a silent run without an alternative upstream is checked for one again."""
+MIN_REMAINING_MS: Final = 50
+"""A run with less time before its deadline than this cannot return a first event."""
 DURATION_WINDOW_MS: Final = 10_000
-"""The longest requests of this window of time and the one before are remembered."""
-RETRY_NOW_MS: Final = 200
-"""When to come back after a failure that another VM or the next moment may not have."""
+"""Length of the windows for the longest durations; the current and the previous window are kept."""
+MIN_RETRY_AFTER_MS: Final = 200
+"""Retry-after time for failures that another VM, or this one a moment later, may not have."""
--- a/goldcreststair/components/forwarding/durations.py
+++ b/goldcreststair/components/forwarding/durations.py
@@ -1,4 +1,4 @@
-"""How long requests of each route take here, from their placing to their end."""
+"""Recent request durations of each route on this VM, from placement to the end of the answer."""
 
 from dataclasses import dataclass
 
@@ -9,34 +9,34 @@
 @dataclass(slots=True)
 class _Longest:
     window: int
-    """Number of the window that `now_ms` belongs to."""
-    now_ms: int = 0
-    before_ms: int = 0
+    """Number of the window that `current_ms` belongs to."""
+    current_ms: int = 0
+    previous_ms: int = 0
 
 
 class RequestDurations:
-    """Keeps the longest request of each route in this window of time and the one before."""
+    """Tracks the longest request of each route in the current and the previous time window."""
 
     def __init__(self, clock: Clock) -> None:
-        """Know no route."""
+        """Initialise without any recorded duration."""
         self._clock = clock
-        self._longest: dict[str, _Longest] = {}
+        self._by_route: dict[str, _Longest] = {}
 
-    def note(self, route: str, began_at: Millis) -> None:
-        """Learn from a request that ended now."""
-        longest = self._turn(route)
-        longest.now_ms = max(longest.now_ms, self._clock.now() - began_at)
+    def record(self, route: str, began_at: Millis) -> None:
+        """Record a request that ends now."""
+        longest = self._rotate(route)
+        longest.current_ms = max(longest.current_ms, self._clock.now() - began_at)
 
     def read_longest_ms(self, route: str) -> int | None:
-        """Return the longest of late; None if none ended."""
-        longest = self._turn(route)
-        return max(longest.now_ms, longest.before_ms) or None
+        """Return the longest recent duration of a route; None if no request ended recently."""
+        longest = self._rotate(route)
+        return max(longest.current_ms, longest.previous_ms) or None
 
-    def _turn(self, route: str) -> _Longest:
+    def _rotate(self, route: str) -> _Longest:
         window = self._clock.now() // DURATION_WINDOW_MS
-        known = self._longest.get(route)
+        known = self._by_route.get(route)
         if known is None or known.window < window - 1:
-            known = self._longest[route] = _Longest(window)
+            known = self._by_route[route] = _Longest(window)
         elif known.window < window:
-            known.window, known.before_ms, known.now_ms = window, known.now_ms, 0
+            known.window, known.previous_ms, known.current_ms = window, known.current_ms, 0
         return known
--- a/goldcreststair/components/forwarding/protocols.py
+++ b/goldcreststair/components/forwarding/protocols.py
@@ -1,4 +1,4 @@
-"""What forwarding asks of the caller's side, and offers."""
+"""Interfaces between forwarding and the caller's connection."""
 
 from collections.abc import Awaitable
 from typing import Final, Protocol
@@ -10,35 +10,35 @@
 
 
 class Responder(Protocol):
-    """The caller's side of one request; the connection may go away at any time."""
+    """Sends the answer to one caller; the connection may close at any time."""
 
     def begin(self, head: RunHead) -> None:
         """Send the head of a stream."""
 
     def write(self, data: bytes) -> Awaitable[None] | None:
-        """Send a piece of a stream; wait for what is returned before the next one."""
+        """Send a chunk of a stream; the returned awaitable must complete before the next chunk."""
 
     def finish(self) -> None:
-        """End a stream as whole."""
+        """End a complete stream."""
 
     def answer(self, head: RunHead, body: bytes) -> None:
-        """Send a whole answer of an upstream."""
+        """Send a complete answer of an upstream."""
 
     def accept(self) -> None:
-        """Say that a job was accepted."""
+        """Report that a job was accepted."""
 
     def refuse(self, refusal: Refusal) -> None:
-        """Send a refusal as the whole answer."""
+        """Send a refusal as the complete answer."""
 
     def abort(self) -> None:
-        """Close the connection, so that what was sent cannot pass for whole."""
+        """Close the connection, so that a partial answer cannot be taken for a complete one."""
 
 
 class Forwarding(Protocol):
     """Serves callers' requests."""
 
     async def async_forward(self, request: CallerRequest, responder: Responder) -> None:
-        """Serve one request to its end; cancel it when the caller goes away."""
+        """Serve one request to its end; cancel the coroutine when the caller disconnects."""
 
 
 FORWARDING: Final = ComponentKey[Forwarding]("forwarding")
--- a/goldcreststair/components/forwarding/refusals.py
+++ b/goldcreststair/components/forwarding/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals of requests, and their line in the log."""
+"""Retryable refusals, and the log line of every refusal."""
 
 import logging
 
@@ -10,13 +10,13 @@
 STATUS_UNAVAILABLE = 503
 
 
-def refuse_for_now(message: str, code: RefusalCode, retry_ms: int) -> Refusal:
-    """Return a refusal of a request that has not run and may come back."""
+def make_retryable_refusal(message: str, code: RefusalCode, retry_ms: int) -> Refusal:
+    """Return a refusal of a request that has not run and may be sent again after `retry_ms`."""
     return Refusal(message, code, STATUS_UNAVAILABLE, True, retry_ms)
 
 
 def log_refusal(request: CallerRequest, refusal: Refusal, *, cut: bool = False) -> None:
-    """Write why a request has no whole answer; `cut` says that a part of one was sent."""
+    """Log why a request has no complete answer; `cut` means that a part of it was already sent."""
     _LOGGER.info(
         "Request refused",
         extra={
--- a/goldcreststair/components/forwarding/relay.py
+++ b/goldcreststair/components/forwarding/relay.py
@@ -1,4 +1,4 @@
-"""Joins the runs of one streamed answer by event number and passes them on whole."""
+"""Joins the runs of one streamed answer by event number into a single stream for the caller."""
 
 from collections.abc import Awaitable, Callable
 
@@ -11,7 +11,7 @@
 
 
 class StreamRelay:
-    """Takes the runs of one request one after another; implements `RunSink`."""
+    """Receives the consecutive runs of one request and relays their events; implements `RunSink`."""
 
     def __init__(
         self,
@@ -21,18 +21,18 @@
         on_head: Callable[[RunHead], None],
         on_data: Callable[[], None],
     ) -> None:
-        """Go on after `last_event`; the calls tell what the upstream sent."""
+        """Continue after event `last_event`; the callbacks report what the upstream sent."""
         self.streams = True
         self.last_event = last_event
         self.first_event_at: Millis | None = None
         self.progress_at = clock.now()
-        """When the present run last sent something."""
+        """When the current run last sent something."""
         self.has_begun = False
-        """Whether the caller has the head of a stream."""
+        """Whether the head of the stream was sent to the caller."""
         self.run_events = 0
-        """Events of the present run."""
+        """Number of events of the current run."""
         self.waits_for_caller = False
-        """Whether the caller's connection takes nothing more, so that nothing is read either."""
+        """Whether the caller's connection is congested, so that the upstream is not read either."""
         self._responder = responder
         self._clock = clock
         self._on_head = on_head
@@ -42,7 +42,7 @@
         self._gap = False
 
     def begin_run(self) -> None:
-        """Take the next run: what began an event of the one before is dropped."""
+        """Prepare for the next run; an incomplete event of the previous run is dropped."""
         self._splitter = EventSplitter()
         self._gap = False
         self.run_events = 0
@@ -51,27 +51,29 @@
 
     @property
     def is_whole(self) -> bool:
-        """Whether the present run's bytes end with a whole event and none is missing."""
+        """Whether the current run ends with a complete event and no event is missing."""
         return not self._gap and not self._splitter.has_partial_event
 
     def on_head(self, head: RunHead) -> None:
-        """Keep the head of the first success: the caller gets one, whichever run goes on."""
+        """Keep the head of the first success: the caller gets one head, whichever run continues."""
         self.progress_at = self._clock.now()
         self._on_head(head)
         if head.status == STATUS_OK and self._head is None:
             self._head = head
 
     def on_data(self, chunk: bytes) -> Awaitable[None] | None:
-        """Pass on the events that this piece completes."""
+        """Relay the events that this chunk completes."""
         self.progress_at = self._clock.now()
         self._on_data()
-        passed = [event.raw for event in self._splitter.feed(chunk) if self._accept(event.number)]
-        if not passed:
+        accepted = [
+            event.raw for event in self._splitter.feed(chunk) if self._accept_event(event.number)
+        ]
+        if not accepted:
             return None
         if self.first_event_at is None:
             self.first_event_at = self._clock.now()
         self.begin()
-        written = self._responder.write(b"".join(passed))
+        written = self._responder.write(b"".join(accepted))
         return None if written is None else self._async_wait_for_caller(written)
 
     async def _async_wait_for_caller(self, written: Awaitable[None]) -> None:
@@ -83,17 +85,17 @@
             self.progress_at = self._clock.now()
 
     def begin(self) -> None:
-        """Send the head, once."""
+        """Send the head to the caller, once."""
         if not self.has_begun and self._head is not None:
             self.has_begun = True
             self._responder.begin(self._head)
 
-    def _accept(self, number: int) -> bool:
+    def _accept_event(self, number: int) -> bool:
         if self._gap or self._splitter.is_oversized:
             return False
         self.run_events += 1
-        # Shows as words missing or doubled in a caller's text after a stream went on elsewhere: the
-        # number of each event says where it belongs, whichever run brought it.
+        # The number of each event gives its position, whichever run sent it. Without this check words
+        # would be missing or doubled in the caller's text after a stream is resumed elsewhere.
         if number != self.last_event + 1:
             self._gap = number > self.last_event + 1 or number == 0
             return False
--- a/goldcreststair/components/forwarding/request.py
+++ b/goldcreststair/components/forwarding/request.py
@@ -1,4 +1,4 @@
-"""One request over all its runs: placing, retries, resumption and the final answer."""
+"""Processing of one request over all its runs: placement, retries, resumption, final answer."""
 
 import asyncio
 import logging
@@ -12,25 +12,25 @@
 from goldcreststair.components.catalogue.regions import find_request_regions
 from goldcreststair.components.crash_marks.service import CRASH_MARKS
 from goldcreststair.components.forwarding.const import (
-    CHECK_TIMEOUT_MS,
-    MIN_LEFT_MS,
-    PLACE_LOOK_MS,
+    CONNECT_CHECK_TIMEOUT_MS,
+    MIN_REMAINING_MS,
+    PLACEMENT_RETRY_MS,
 )
 from goldcreststair.components.forwarding.models import RequestProgress
 from goldcreststair.components.forwarding.protocols import Responder
 from goldcreststair.components.forwarding.recovery import (
-    NextRun,
-    choose_place_pause,
-    decide_next_run,
-    may_leave_run,
-    refuse_after,
+    NextStep,
+    choose_placement_delay,
+    decide_next_step,
+    make_final_refusal,
+    may_abandon_run,
 )
-from goldcreststair.components.forwarding.refusals import log_refusal, refuse_for_now
+from goldcreststair.components.forwarding.refusals import log_refusal, make_retryable_refusal
 from goldcreststair.components.forwarding.relay import STATUS_OK, StreamRelay
 from goldcreststair.components.forwarding.silence_detector import (
-    Evidence,
     SilenceDetector,
     SilenceMonitor,
+    UpstreamProbes,
 )
 from goldcreststair.components.placement.admission import CallerTime, decide_return
 from goldcreststair.components.placement.models import Placement, PlacementQuery
@@ -47,31 +47,31 @@
 _LOGGER = logging.getLogger(__name__)
 
 STATUS_FAILED = 500
-LINES: Final = {
-    NextRun.ELSEWHERE: "Request runs elsewhere",
-    NextRun.BACK: "Request goes back",
+LOG_EVENTS: Final = {
+    NextStep.ELSEWHERE: "Request runs elsewhere",
+    NextStep.BACK: "Request goes back",
 }
 
 
 @dataclass(frozen=True, slots=True)
-class ForwardingTools:
-    """What all requests of this daemon share."""
+class ForwardingContext:
+    """Objects shared by all requests of this daemon."""
 
     core: GatewayCore
     budget: RetryBudget
-    watcher: SilenceMonitor
+    silence_monitor: SilenceMonitor
 
 
 class ForwardedRequest:
-    """One admitted request over all its runs."""
+    """Processes one admitted request over all its runs."""
 
     def __init__(
-        self, tools: ForwardingTools, admitted: AdmittedRequest, responder: Responder
+        self, context: ForwardingContext, admitted: AdmittedRequest, responder: Responder
     ) -> None:
-        """Run nothing yet."""
-        core = tools.core
+        """Prepare the request; `async_run` starts it."""
+        core = context.core
         self._core = core
-        self._watcher = tools.watcher
+        self._silence_monitor = context.silence_monitor
         self._clock = core.clock
         self._placement = core.get(PLACEMENT)
         self._quotas = core.get(QUOTAS)
@@ -79,93 +79,95 @@
         self._request = admitted.request
         self._route = admitted.route
         self._responder = responder
-        self._budget = tools.budget
+        self._budget = context.budget
         self._progress = RequestProgress(last_event=admitted.request.resume_after)
-        self._at = ""
-        """Name of the upstream of the present run."""
+        self._upstream = ""
+        """Name of the upstream of the current run."""
         self._failure: UpstreamError | None = None
-        """Of the last run that failed."""
+        """Error of the last failed run."""
         self._relay = StreamRelay(
             responder, core.clock, self._progress.last_event, self._on_head, self._on_data
         )
         self._relay.streams = admitted.route.kind is CallKind.STREAMING
 
     async def async_run(self) -> None:
-        """Run until there is a final answer."""
+        """Run the request until the final answer is sent."""
         self._budget.record_request()
-        following = NextRun.ELSEWHERE
+        next_step = NextStep.ELSEWHERE
         while True:
-            placed = await self._async_place(following)
+            placed = await self._async_place(next_step)
             if isinstance(placed, Err):
-                self._end_refused(placed.err_value)
+                self._finish_refused(placed.err_value)
                 return
             end = await self._async_attempt(placed.ok_value)
             if isinstance(end, Ok) and self._is_final(end.ok_value):
-                self._end_answered(end.ok_value)
+                self._finish_answered(end.ok_value)
                 return
-            error = end.err_value if isinstance(end, Err) else _turn_status(end.ok_value)
-            self._note_failure(placed.ok_value, error)
-            left_ms = self._left_ms()
-            following = decide_next_run(self._progress, self._route, error, self._budget, left_ms)
-            if following is NextRun.GIVE_UP:
+            error = end.err_value if isinstance(end, Err) else _make_run_error(end.ok_value)
+            self._record_failure(placed.ok_value, error)
+            remaining_ms = self._remaining_ms()
+            next_step = decide_next_step(
+                self._progress, self._route, error, self._budget, remaining_ms
+            )
+            if next_step is NextStep.GIVE_UP:
                 if isinstance(end, Ok) and not self._relay.has_begun:
-                    self._end_answered(end.ok_value)
+                    self._finish_answered(end.ok_value)
                 else:
-                    self._end_refused(refuse_after(self._progress, error))
+                    self._finish_refused(make_final_refusal(self._progress, error))
                 return
-            self._log(LINES[following], error.message, failure=error.failure.value)
+            self._log(LOG_EVENTS[next_step], error.message, failure=error.failure.value)
             self._core.meters.count_retry(error.failure.value)
 
-    async def _async_place(self, following: NextRun) -> Result[Placement, Refusal]:
-        """Return where the next run goes, once there is a place."""
-        pause_ms = choose_place_pause(self._progress)
+    async def _async_place(self, next_step: NextStep) -> Result[Placement, Refusal]:
+        """Return the placement of the next run, waiting for one where the stream has begun."""
+        pause_ms = choose_placement_delay(self._progress)
         if pause_ms:
             await self._clock.async_sleep(pause_ms)
-        placed = self._place_back() if following is NextRun.BACK else self._place()
-        # To cut a begun stream now would lose what the caller has for upstreams that are only full, or
-        # down, for a moment.
+        placed = self._place_back() if next_step is NextStep.BACK else self._place()
+        # Cutting a begun stream now would waste what the caller has received, although the upstreams
+        # may be full or down for a moment only.
         while isinstance(placed, Err) and self._may_wait_for_place():
-            self._progress.excluded = set(self._progress.ran)
-            await self._clock.async_sleep(PLACE_LOOK_MS)
+            self._progress.excluded = set(self._progress.attempted)
+            await self._clock.async_sleep(PLACEMENT_RETRY_MS)
             placed = self._place()
         return placed
 
     def _may_wait_for_place(self) -> bool:
-        if not self._relay.has_begun or self._has_run_out():
+        if not self._relay.has_begun or self._is_out_of_time():
             return False
-        return self._placement.controller.has_upstream(self._make_query(self._progress.ran))
+        return self._placement.controller.has_upstream(self._make_query(self._progress.attempted))
 
     def _place_back(self) -> Result[Placement, Refusal]:
-        while self._progress.left:
-            placement = self._placement.controller.place_at(self._progress.left.pop(0))
+        while self._progress.abandoned:
+            placement = self._placement.controller.place_at(self._progress.abandoned.pop(0))
             if placement is not None:
                 return Ok(placement)
-        error = UpstreamError("no upstream is left", UpstreamFailure.CONNECT)
-        return Err(refuse_after(self._progress, error))
+        error = UpstreamError("no upstream is left to retry", UpstreamFailure.CONNECT)
+        return Err(make_final_refusal(self._progress, error))
 
     def _place(self) -> Result[Placement, Refusal]:
-        if self._has_run_out():
+        if self._is_out_of_time():
             error = UpstreamError("no time for another run", UpstreamFailure.TIMEOUT)
-            return Err(refuse_after(self._progress, error))
+            return Err(make_final_refusal(self._progress, error))
         chosen = self._placement.controller.choose(self._make_query(self._progress.excluded))
-        if isinstance(chosen, Err) and self._progress.left:
+        if isinstance(chosen, Err) and self._progress.abandoned:
             return self._place_back()
         if isinstance(chosen, Err):
             error = UpstreamError(chosen.err_value.message, UpstreamFailure.CONNECT)
-            return Err(refuse_after(self._progress, error, chosen.err_value.retry_after_ms))
+            return Err(make_final_refusal(self._progress, error, chosen.err_value.retry_after_ms))
         placement = chosen.ok_value
-        time = CallerTime(self._route.objective_ms, self._route.timeout_ms, self._left_ms())
+        time = CallerTime(self._route.objective_ms, self._route.timeout_ms, self._remaining_ms())
         return_ms = None
         if not self._progress.attempts and not self._progress.excluded:
             return_ms = decide_return(placement, time, self._core.random)
         if return_ms is None:
             return Ok(placement)
         message = f"first event expected after {placement.expected_ms:.0f} ms"
-        return Err(refuse_for_now(message, RefusalCode.OVERLOADED, return_ms))
+        return Err(make_retryable_refusal(message, RefusalCode.OVERLOADED, return_ms))
 
-    def _has_run_out(self) -> bool:
-        """Return whether a request that was sent before has no time for one more run."""
-        return bool(self._progress.excluded) and self._left_ms() < MIN_LEFT_MS
+    def _is_out_of_time(self) -> bool:
+        """Return whether a request that was already sent to an upstream has no time to be sent again."""
+        return bool(self._progress.excluded) and self._remaining_ms() < MIN_REMAINING_MS
 
     def _make_query(self, excluded: Iterable[str]) -> PlacementQuery:
         admitted = self._admitted
@@ -175,7 +177,7 @@
     async def _async_attempt(self, placement: Placement) -> Result[RunEnd, UpstreamError]:
         entry = placement.upstream
         call = self._make_call(entry.name)
-        self._at = entry.name
+        self._upstream = entry.name
         self._core.meters.observe_expected(placement.expected_ms)
         self._log(
             "Request placed",
@@ -190,7 +192,7 @@
         began_at = self._clock.now()
         run = asyncio.ensure_future(self._core.runner.async_run(entry.address, call, self._relay))
         try:
-            end = await self._async_follow(run, placement)
+            end = await self._async_monitor(run, placement)
         finally:
             run.cancel()
             self._placement.end(entry.name)
@@ -200,31 +202,31 @@
             self._placement.controller.note_run(service, first_ms, self._clock.now() - began_at)
         return end
 
-    async def _async_follow(
+    async def _async_monitor(
         self, run: "asyncio.Task[Result[RunEnd, UpstreamError]]", placement: Placement
     ) -> Result[RunEnd, UpstreamError]:
         if not self._route.repeatable or self._route.kind is not CallKind.STREAMING:
             return await run
         entry = placement.upstream
         controller = self._placement.controller
-        evidence = Evidence(
+        probes = UpstreamProbes(
             lambda: controller.read_progress(entry.name),
             lambda: controller.has_witness(entry.name),
-            lambda: self._core.runner.pool.async_warm(entry.address, CHECK_TIMEOUT_MS),
-            self._may_leave_run,
+            lambda: self._core.runner.pool.async_warm(entry.address, CONNECT_CHECK_TIMEOUT_MS),
+            self._may_abandon_run,
         )
-        watch = SilenceDetector(self._clock, self._relay, placement.expected_ms, evidence)
-        ended = await self._watcher.async_follow(run, watch)
+        detector = SilenceDetector(self._clock, self._relay, placement.expected_ms, probes)
+        ended = await self._silence_monitor.async_monitor(run, detector)
         if ended is None:
-            message = f"upstream fell silent: {watch.describe()}"
+            message = f"upstream fell silent: {detector.describe()}"
             return Err(UpstreamError(message, UpstreamFailure.SILENT))
         return ended
 
-    def _may_leave_run(self) -> bool:
+    def _may_abandon_run(self) -> bool:
         progress = replace(self._progress, last_event=self._relay.last_event)
-        if not may_leave_run(progress, self._route, self._budget, self._left_ms()):
+        if not may_abandon_run(progress, self._route, self._budget, self._remaining_ms()):
             return False
-        elsewhere = self._make_query(progress.excluded | {self._at})
+        elsewhere = self._make_query(progress.excluded | {self._upstream})
         return self._placement.controller.has_place(elsewhere)
 
     def _make_call(self, upstream: str) -> RunCall:
@@ -238,7 +240,7 @@
             body=request.body,
             customer=self._admitted.customer.name if self._admitted.customer else "",
             upstream=upstream,
-            deadline_ms=max(1, self._left_ms()),
+            deadline_ms=max(1, self._remaining_ms()),
             resume_after=self._relay.last_event,
         )
 
@@ -247,18 +249,18 @@
             return False
         return end.head.status != STATUS_OK or self._relay.is_whole
 
-    def _note_failure(self, placement: Placement, error: UpstreamError) -> None:
+    def _record_failure(self, placement: Placement, error: UpstreamError) -> None:
         progress = self._progress
         entry = placement.upstream
         self._failure = error
         progress.excluded.add(entry.name)
         progress.last_event = self._relay.last_event
-        if error.failure is UpstreamFailure.SILENT and entry.name not in progress.ran:
-            progress.left.append(entry.name)
+        if error.failure is UpstreamFailure.SILENT and entry.name not in progress.attempted:
+            progress.abandoned.append(entry.name)
         if error.not_run:
-            progress.turned_away += 1
+            progress.not_run_count += 1
         else:
-            progress.ran.add(entry.name)
+            progress.attempted.add(entry.name)
         if error.failure in (UpstreamFailure.CONNECT, UpstreamFailure.SILENT):
             self._placement.note_down(entry, error.message, self._request.request_id)
         elif error.failure is UpstreamFailure.LOST and not error.status:
@@ -268,26 +270,26 @@
         elif error.failure is UpstreamFailure.REFUSED:
             self._placement.controller.note_full(entry.name)
 
-    def _end_answered(self, end: RunEnd) -> None:
+    def _finish_answered(self, end: RunEnd) -> None:
         if end.head.status != STATUS_OK or self._route.kind is not CallKind.STREAMING:
             self._responder.answer(end.head, end.body)
         else:
             self._relay.begin()
             self._responder.finish()
-        first_ms = self._read_first_ms()
+        first_ms = self._read_first_event_ms()
         kind = self._route.kind.value
         if first_ms is not None:
             self._core.meters.observe_first_event(kind, first_ms)
         self._core.meters.count_request(kind, "answered")
         self._log("Request answered", f"status {end.head.status}", first_ms=first_ms)
 
-    def _end_refused(self, refusal: Refusal) -> None:
+    def _finish_refused(self, refusal: Refusal) -> None:
         if self._failure is not None:
             failure = self._failure.failure.value
             self._core.meters.count_given_up(failure)
             self._log("Request given up", self._failure.message, failure=failure)
         if self._relay.has_begun:
-            # Part of the answer is out: only a closed connection shows that it is not whole.
+            # Part of the answer was sent: only closing the connection shows that it is incomplete.
             self._responder.abort()
         else:
             self._responder.refuse(refusal)
@@ -297,36 +299,36 @@
         self._core.meters.count_request(self._route.kind.value, outcome)
         log_refusal(self._request, refusal, cut=self._relay.has_begun)
 
-    def _read_first_ms(self) -> int | None:
+    def _read_first_event_ms(self) -> int | None:
         first_at = self._relay.first_event_at
         return None if first_at is None else first_at - self._request.arrived_at
 
-    def _left_ms(self) -> int:
+    def _remaining_ms(self) -> int:
         return self._admitted.ends_at - self._clock.now()
 
     def _on_head(self, head: RunHead) -> None:
-        self._placement.note_head(self._at, head)
+        self._placement.note_head(self._upstream, head)
 
     def _on_data(self) -> None:
-        self._placement.controller.note_progress(self._at)
+        self._placement.controller.note_progress(self._upstream)
 
     def _log(self, event: str, reason: str, **seen: object) -> None:
         _LOGGER.info(
             event,
             extra={
                 "request": self._request.request_id,
-                "upstream": self._at,
+                "upstream": self._upstream,
                 "reason": reason,
                 "attempts": self._progress.attempts,
                 "last_event": self._relay.last_event,
                 "age_ms": self._clock.now() - self._request.arrived_at,
-                "left_ms": self._left_ms(),
+                "left_ms": self._remaining_ms(),
                 **seen,
             },
         )
 
 
-def _turn_status(end: RunEnd) -> UpstreamError:
+def _make_run_error(end: RunEnd) -> UpstreamError:
     if end.head.status >= STATUS_FAILED:
         message = f"upstream answered {end.head.status}"
         return UpstreamError(message, UpstreamFailure.LOST, end.head.status)
--- a/goldcreststair/components/forwarding/service.py
+++ b/goldcreststair/components/forwarding/service.py
@@ -1,4 +1,4 @@
-"""Serves one caller's request: admission, placing, runs, and what follows each of them."""
+"""Service that admits callers' requests and forwards them to upstreams or to the job API."""
 
 import asyncio
 import logging
@@ -15,11 +15,11 @@
 from goldcreststair.components.crash_marks.service import CRASH_MARKS
 from goldcreststair.components.fleet.models import OWN_STATE
 from goldcreststair.components.fleet.protocols import FLEET_LINKS
-from goldcreststair.components.forwarding.const import RETRY_NOW_MS, SETTLE_LOOK_MS
+from goldcreststair.components.forwarding.const import MIN_RETRY_AFTER_MS, SETTLE_POLL_MS
 from goldcreststair.components.forwarding.durations import RequestDurations
 from goldcreststair.components.forwarding.protocols import Responder
-from goldcreststair.components.forwarding.refusals import log_refusal, refuse_for_now
-from goldcreststair.components.forwarding.request import ForwardedRequest, ForwardingTools
+from goldcreststair.components.forwarding.refusals import log_refusal, make_retryable_refusal
+from goldcreststair.components.forwarding.request import ForwardedRequest, ForwardingContext
 from goldcreststair.components.forwarding.silence_detector import SilenceMonitor
 from goldcreststair.components.jobs.desk import JOB_DESK
 from goldcreststair.components.placement.service import PLACEMENT
@@ -54,28 +54,28 @@
     """Implements `Forwarding`."""
 
     def __init__(self, core: GatewayCore) -> None:
-        """Use the components set up before."""
+        """Initialise from the components that were set up before."""
         self._core = core
         self._clock = core.clock
         self._board = core.blackboard
         self._links = core.get(FLEET_LINKS)
         self._quotas = core.get(QUOTAS)
-        self._marks = core.get(CRASH_MARKS)
-        self._desk = core.get(JOB_DESK)
+        self._crash_marks = core.get(CRASH_MARKS)
+        self._job_api = core.get(JOB_DESK)
         self._placement = core.get(PLACEMENT)
         self._durations = RequestDurations(core.clock)
         self.budget = RetryBudget()
-        self._tools = ForwardingTools(core, self.budget, SilenceMonitor(core.clock))
+        self._context = ForwardingContext(core, self.budget, SilenceMonitor(core.clock))
 
     async def async_start(self) -> None:
-        """Do nothing; requests come from the caller's side."""
+        """Do nothing; the callers' connections drive this service."""
 
     async def async_close(self) -> None:
-        """Do nothing; requests end with their connections."""
+        """Do nothing; closing the callers' connections cancels their requests."""
 
     async def async_forward(self, request: CallerRequest, responder: Responder) -> None:
-        """Serve one request to its end; cancel it when the caller goes away."""
-        admitted = await self._async_admit(request)
+        """Serve one request to its end; cancel the coroutine when the caller disconnects."""
+        admitted = await self._async_admit_when_settled(request)
         if isinstance(admitted, Err):
             self._core.meters.count_request("none", admitted.err_value.code.value)
             log_refusal(request, admitted.err_value)
@@ -85,27 +85,30 @@
             await self._async_submit(admitted.ok_value, responder)
             return
         began_at = self._clock.now()
-        await ForwardedRequest(self._tools, admitted.ok_value, responder).async_run()
-        self._durations.note(admitted.ok_value.route.name, began_at)
+        await ForwardedRequest(self._context, admitted.ok_value, responder).async_run()
+        self._durations.record(admitted.ok_value.route.name, began_at)
 
-    async def _async_admit(self, request: CallerRequest) -> Result[AdmittedRequest, Refusal]:
-        """Return what `admit` does, once this daemon knows enough to tell."""
+    async def _async_admit_when_settled(
+        self, request: CallerRequest
+    ) -> Result[AdmittedRequest, Refusal]:
+        """Return the result of `admit`, waiting while quotas settle if it is a rate limit."""
         admitted = self.admit(request)
-        # After a loss of all VMs their callers return within moments, before the daemons hear each other:
-        # with a two-hundredth part of each quota, they would refuse most of those who had waited.
+        # After a loss of all VMs the callers return within moments, before the daemons receive each
+        # other's beacons. A daemon that admits only a two-hundredth of each quota would refuse most of
+        # the callers that had waited.
         while _is_rate_limited(admitted) and self._quotas.is_settling():
-            await self._clock.async_sleep(SETTLE_LOOK_MS)
+            await self._clock.async_sleep(SETTLE_POLL_MS)
             admitted = self.admit(request)
         return admitted
 
     async def _async_submit(self, admitted: AdmittedRequest, responder: Responder) -> None:
         request = admitted.request
-        left_ms = max(1, admitted.ends_at - self._clock.now())
+        remaining_ms = max(1, admitted.ends_at - self._clock.now())
         try:
-            async with asyncio.timeout(left_ms / MS_PER_SECOND):
-                submitted = await self._desk.async_submit(admitted)
+            async with asyncio.timeout(remaining_ms / MS_PER_SECOND):
+                submitted = await self._job_api.async_submit(admitted)
         except TimeoutError:
-            # Its transaction may still be made: nothing can be promised.
+            # The transaction may still be committed, so its outcome is unknown.
             message = "the store did not answer in time"
             submitted = Err(Refusal(message, RefusalCode.OUTCOME_UNKNOWN))
         if isinstance(submitted, Err):
@@ -115,13 +118,13 @@
             responder.accept()
 
     def admit(self, request: CallerRequest) -> Result[AdmittedRequest, Refusal]:
-        """Return the request with its route and customer, or why it may not run."""
+        """Return the request with its route and customer, or the refusal if it may not run."""
         catalogue = self._board.read(CATALOGUE)
         if not catalogue.version or self._links.is_isolated():
             message = "cut off from the fleet" if catalogue.version else "no catalogue yet"
             away = self._core.store_contact.is_away()
             retry_ms = choose_ready_retry_ms(request.deadline_ms, store_away=away)
-            return Err(refuse_for_now(message, RefusalCode.NOT_READY, retry_ms))
+            return Err(make_retryable_refusal(message, RefusalCode.NOT_READY, retry_ms))
         found = find_route(catalogue, request)
         if isinstance(found, Err):
             return found
@@ -134,14 +137,14 @@
             customer = identified.ok_value
         name = customer.name if customer is not None else ""
         fingerprint = make_call_fingerprint(name, request.method, request.target, request.body)
-        if self._marks.is_refused(fingerprint):
+        if self._crash_marks.is_refused(fingerprint):
             message = f"fingerprint {fingerprint} crashed the upstreams that ran it"
             code = RefusalCode.QUARANTINED
             return Err(Refusal(message, code, STATUS_UNAVAILABLE, True))
         ends_at = find_end(request, route)
-        if not self._can_end(route, ends_at):
-            message = "this VM leaves before the answer would be whole"
-            return Err(refuse_for_now(message, RefusalCode.NOT_READY, RETRY_NOW_MS))
+        if not self._can_finish(route, ends_at):
+            message = "this VM shuts down before the answer would be complete"
+            return Err(make_retryable_refusal(message, RefusalCode.NOT_READY, MIN_RETRY_AFTER_MS))
         if customer is not None and route.kind is not CallKind.BATCH:
             wait_ms = self._quotas.admit(customer)
             if wait_ms is not None:
@@ -152,19 +155,20 @@
         service = choose_service(route, self._core.random.random())
         return Ok(AdmittedRequest(request, route, customer, service, ends_at, fingerprint))
 
-    def _can_end(self, route: Route, ends_at: Millis) -> bool:
-        """Return whether a request that is placed now ends before this daemon does."""
+    def _can_finish(self, route: Route, ends_at: Millis) -> bool:
+        """Return whether a request that starts now ends before this daemon shuts down."""
         own = self._board.read(OWN_STATE)
         if own.ends_at is None or ends_at <= own.ends_at:
             return True
         now = self._clock.now()
         read_traits = self._placement.controller.read_traits
         run_ms = max(read_traits(weighted.service).run_ms for weighted in route.services)
-        # A request sent away at once is served elsewhere; one that is cut is lost, or run twice. While
-        # callers may still be led here, sent away they could come back: then the usual run counts.
+        # A request refused at once is served elsewhere; one that is cut is lost or runs twice. While
+        # address lookups may still return this VM, refused callers could be sent here again, so the
+        # usual run time decides; afterwards the longest recent duration counts as well.
         if own.named_until is None or now >= own.named_until:
             longest_ms = self._durations.read_longest_ms(route.name)
-            # A VM that has just started knows no length: the request may take all of its time.
+            # A VM that has just started knows no duration: the request may take until its deadline.
             if longest_ms is None:
                 return False
             run_ms = max(run_ms, longest_ms)
--- a/tests/components/forwarding/test_admission.py
+++ b/tests/components/forwarding/test_admission.py
@@ -1,4 +1,4 @@
-"""Which requests are refused, and what the refusal promises."""
+"""Tests of admission: refusal codes, statuses and retry-after times."""
 
 import asyncio
 from dataclasses import replace
@@ -20,7 +20,7 @@
         ("/stream/a", "key-other", RefusalCode.INVALID_KEY, 401),
     ],
 )
-def test_a_bad_request_is_refused_by_name(
+def test_bad_request_is_refused_with_code_and_status(
     path: str, key: str, code: RefusalCode, status: int
 ) -> None:
     async def scenario(fleet: GatewayFleet) -> None:
@@ -36,11 +36,11 @@
     run_fleet(scenario)
 
 
-def test_callers_of_a_daemon_whose_store_is_silent_come_back_later() -> None:
-    """All VMs had restarted while the store was silent, and callers used up their returns within a second.
+def test_retry_after_is_longer_while_the_store_is_unavailable() -> None:
+    """Guards against callers that use up their retries within one store outage.
 
-    Each was told to come back after half a second, met the same outage, and got no answer at all although
-    the store was back before its time was over.
+    All VMs had restarted during the outage. With a retry-after time of half a second each caller met the
+    same outage again and got no answer, although the store was back before its deadline.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -54,10 +54,10 @@
     run_fleet(scenario)
 
 
-def test_a_daemon_without_a_catalogue_refuses_for_now() -> None:
-    """Callers with good keys were told 401 by a VM that had just started while the store was away.
+def test_daemon_without_a_catalogue_refuses_with_retry_after() -> None:
+    """Guards against a 401 for valid keys from a VM that starts while the store is unavailable.
 
-    A daemon that knows no version cannot tell a good key from a bad one, and says when to come back.
+    A daemon without a catalogue cannot tell a valid key from an invalid one, so its refusal is temporary.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -71,11 +71,11 @@
     run_fleet(scenario)
 
 
-def test_a_daemon_that_hears_nobody_takes_no_requests() -> None:
-    """A withdrawn key went on working at one VM.
+def test_isolated_daemon_refuses_requests() -> None:
+    """Guards against a withdrawn key that keeps working at a VM cut off from the store and all other VMs.
 
-    The VM was cut off from the store and from all others, so that no news could reach it. After some
-    seconds it must refuse what it cannot know to be allowed, and serve again when it is back.
+    No update can reach such a VM. After a few seconds it must refuse requests, and serve again once it is
+    reconnected.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -99,10 +99,11 @@
     run_fleet(scenario)
 
 
-def test_a_withdrawn_key_reaches_a_daemon_that_the_store_turns_away() -> None:
-    """A key was taken away, and one VM of ten let it in for as long as the store turned that VM away.
+def test_withdrawn_key_reaches_a_daemon_without_the_store() -> None:
+    """Guards against a withdrawn key that stays valid at the one VM that cannot reach the store.
 
-    The others have the newer version: the VM learns of it from their beacons and asks one for it.
+    The other VMs have the newer catalogue: their beacons announce its version, and the VM fetches it from
+    one of them.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -118,7 +119,7 @@
     run_fleet(scenario)
 
 
-def test_an_older_version_never_comes_into_force_again() -> None:
+def test_older_catalogue_version_is_ignored() -> None:
     async def scenario(fleet: GatewayFleet) -> None:
         fleet.add_engines(1)
         (member,) = await fleet.async_add_many(1)
@@ -132,7 +133,7 @@
     run_fleet(scenario)
 
 
-def test_an_unreadable_version_leaves_the_one_in_force() -> None:
+def test_unreadable_catalogue_version_keeps_the_current_one() -> None:
     async def scenario(fleet: GatewayFleet) -> None:
         fleet.add_engines(1)
         (member,) = await fleet.async_add_many(1)
@@ -144,11 +145,11 @@
     run_fleet(scenario)
 
 
-def test_a_burst_beyond_all_slots_is_sent_away_at_once_and_served_when_it_comes_back() -> None:
-    """On Thursday night every secretary waited, and all answers were late for long after the rush.
+def test_burst_beyond_all_slots_is_refused_at_once_and_served_on_retry() -> None:
+    """Guards against late answers for a whole burst, and long after it.
 
-    More requests came than the engines have slots. Queued regardless, the whole rush is late; sent away
-    at once with a time to come back, most of it is served in time. Who comes back is not sent away again.
+    More requests arrive than the engines have slots. If all of them queued, all would be late; if the
+    excess is refused at once with a retry-after time, most are served in time. Retries are not refused.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -165,7 +166,7 @@
         assert all(answer.refusal.not_run for answer in refused if answer.refusal)
         retries = [answer.refusal.retry_after_ms for answer in refused if answer.refusal]
         assert min(retries) >= 300 and max(retries) <= 5_000 * 0.3
-        back = [async_send(fleet, member, f"/stream/{n}", deadline_ms=4_000) for n in range(30)]
-        assert all(answer.whole for answer in await asyncio.gather(*back))
+        again = [async_send(fleet, member, f"/stream/{n}", deadline_ms=4_000) for n in range(30)]
+        assert all(answer.whole for answer in await asyncio.gather(*again))
 
     run_fleet(scenario)
--- a/tests/components/forwarding/test_durations.py
+++ b/tests/components/forwarding/test_durations.py
@@ -1,4 +1,4 @@
-"""What is remembered of how long requests took."""
+"""Tests of the tracker of recent request durations."""
 
 import pytest
 
@@ -17,16 +17,16 @@
         ((900,), 2 * DURATION_WINDOW_MS, None),
     ],
 )
-def test_the_longest_request_of_late_counts(
+def test_longest_recent_request_counts(
     took_ms: tuple[int, ...], later_ms: int, longest_ms: int | None
 ) -> None:
-    """A leaving VM refused all late requests for one that had taken long minutes before."""
+    """Guards against a VM that refuses all requests while it shuts down, for one long request minutes ago."""
 
     async def async_run() -> None:
         clock = LoopClock()
         durations = RequestDurations(clock)
         for each in took_ms:
-            durations.note("r", Millis(clock.now() - each))
+            durations.record("r", Millis(clock.now() - each))
         await clock.async_sleep(later_ms)
         assert durations.read_longest_ms("r") == longest_ms
         assert durations.read_longest_ms("other") is None
--- a/tests/components/forwarding/test_large_fleet.py
+++ b/tests/components/forwarding/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""Streams through a large fleet, where a daemon has one run at an upstream, seldom two."""
+"""Tests of streams in a large fleet, where a daemon rarely has more than one run at an upstream."""
 
 import asyncio
 
@@ -15,18 +15,19 @@
 
 
 async def async_start(fleet: GatewayFleet) -> list[FleetMember]:
-    """Start a fleet whose relays have told all of all."""
+    """Start a fleet and wait until every daemon has received the state of all others."""
     members = await fleet.async_add_many(VMS)
     await fleet.clock.async_sleep(4_000)
     return members
 
 
 @pytest.mark.parametrize("queue_ms", [300, 600, 900])
-def test_an_upstream_that_is_only_full_is_not_taken_for_gone(queue_ms: int) -> None:
-    """In the first burst of a calm day 117 upstreams were taken for down and 27 callers got 502.
+def test_full_upstream_is_not_marked_down(queue_ms: int) -> None:
+    """Guards against marking upstreams down because a request waits in their queue.
 
-    A request waited in an upstream's queue for longer than the picture of its load had shown. Its VM had
-    no other run there, took the silence for a crash, told all others, and ran the request once more.
+    In the first burst of a quiet day 117 upstreams were marked down and 27 callers got 502. A request
+    waited longer than the upstream's known load suggested. Its VM had no other run there, took the silence
+    for a crash, reported it to all others and ran the request again.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -45,11 +46,12 @@
 
 
 @pytest.mark.parametrize("after_ms", [20, 200])
-def test_an_upstream_that_accepts_nothing_is_left_within_the_pause_that_is_good(
+def test_upstream_that_accepts_no_connection_is_abandoned_within_the_accepted_pause(
     after_ms: int,
 ) -> None:
-    """An upstream goes dark with one stream of each of several VMs: none of them has another run there that
-    would tell, and their callers wait.
+    """Guards against callers that wait for an upstream which crashed without closing its connections.
+
+    Several VMs have one stream each there, so none has a second run whose silence would confirm the crash.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -69,11 +71,11 @@
     run_fleet(scenario)
 
 
-def test_batch_makes_room_for_a_request_before_it_is_late() -> None:
-    """After a loss of all VMs batch jobs of many VMs hold every slot when the next burst comes.
+def test_batch_is_preempted_before_a_request_is_late() -> None:
+    """Guards against requests that wait for slots held by batch items of other VMs.
 
-    Word that an upstream is too full comes round with the digests, after 200 to 300 ms: the request waited
-    for its slot as long as its caller counts a first event as good.
+    After a loss of all VMs batch jobs of many VMs hold every slot when the next burst comes. The digests
+    report an overloaded upstream only after 200 to 300 ms, and by then the first event would be late.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -85,21 +87,21 @@
         await fleet.clock.async_sleep(3_000)
         assert engine.running >= engine.slots - 1
         for group in (members[10:14], members[16:20]):
-            asked = fleet.clock.now()
+            sent_at = fleet.clock.now()
             sending = [async_send(fleet, member, "/stream/a") for member in group]
             answers = await asyncio.gather(*sending)
             assert all(answer.whole for answer in answers)
-            waits = [answer.event_times[0] - asked - engine.first_ms for answer in answers]
+            waits = [answer.event_times[0] - sent_at - engine.first_ms for answer in answers]
             assert max(waits) < 2 * YIELD_MS
 
     run_fleet(scenario)
 
 
-def test_callers_that_return_to_a_fleet_that_just_started_are_not_refused() -> None:
-    """All VMs of a large fleet lose power and come back; their callers return before the daemons hear each other.
+def test_callers_that_return_to_a_restarted_fleet_are_not_refused() -> None:
+    """Guards against rate-limit refusals right after all VMs of a large fleet have restarted.
 
-    Each daemon took a thirtieth of the quota for its own and refused most of those who had waited, although
-    nothing had been admitted for a second.
+    The callers return before the daemons receive each other's beacons. Each daemon used a thirtieth of the
+    quota and refused most of the waiting callers, although nothing had been admitted for a second.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -113,12 +115,12 @@
             await fleet.async_kill(member)
         await fleet.clock.async_sleep(1_000)
 
-        async def async_ask(number: int) -> FakeResponder | None:
+        async def async_restart_and_send(number: int) -> FakeResponder | None:
             member = await fleet.async_add(before[number].address)
             await fleet.async_wait(lambda: member.core.get(ENTRY).is_ready(), 2_000)
             return await async_send(fleet, member, "/stream/a") if number % 7 == 0 else None
 
-        answers = await asyncio.gather(*(async_ask(number) for number in range(VMS)))
+        answers = await asyncio.gather(*(async_restart_and_send(number) for number in range(VMS)))
         assert all(answer.whole for answer in answers if answer is not None)
 
     run_fleet(scenario)
--- a/tests/components/forwarding/test_reports.py
+++ b/tests/components/forwarding/test_reports.py
@@ -1,4 +1,4 @@
-"""What is logged and counted of runs that failed."""
+"""Tests of the metrics and log lines of failed runs."""
 
 import asyncio
 import logging
@@ -9,7 +9,7 @@
 from tests.helpers.gateways import async_send, run_fleet
 
 
-def test_a_request_whose_last_run_failed_is_counted_by_its_failure() -> None:
+def test_failed_request_is_counted_by_its_failure() -> None:
     async def scenario(fleet: GatewayFleet) -> None:
         (engine,) = fleet.add_engines(1)
         (member,) = await fleet.async_add_many(1)
@@ -25,7 +25,7 @@
     run_fleet(scenario)
 
 
-def test_the_log_says_what_a_silence_went_by(caplog: pytest.LogCaptureFixture) -> None:
+def test_log_gives_the_measured_silence(caplog: pytest.LogCaptureFixture) -> None:
     async def scenario(fleet: GatewayFleet) -> None:
         engines = fleet.add_engines(2)
         (member,) = await fleet.async_add_many(1)
--- a/tests/components/forwarding/test_silence.py
+++ b/tests/components/forwarding/test_silence.py
@@ -1,4 +1,4 @@
-"""Requests whose upstream, or whose caller, falls silent for a while and then goes on."""
+"""Tests of requests whose upstream or caller pauses for a while and then continues."""
 
 import asyncio
 from dataclasses import dataclass
@@ -19,20 +19,20 @@
 
 
 async def async_start(fleet: GatewayFleet, vms: int) -> FleetMember:
-    """Start a fleet and return one daemon that knows the others and the upstreams."""
+    """Start a fleet and return a daemon that knows the other daemons and the upstreams."""
     members = await fleet.async_add_many(vms)
     await fleet.clock.async_sleep(4_000 if vms > SMALL else 500)
     return members[0]
 
 
 async def async_find_running(fleet: GatewayFleet, engines: list[RunEngine]) -> RunEngine:
-    """Wait until an upstream runs something, and return it."""
+    """Return the first of the upstreams that runs something, once there is one."""
     await fleet.async_wait(lambda: any(engine.running for engine in engines), 2_000)
     return next(engine for engine in engines if engine.running)
 
 
 async def async_pause(fleet: GatewayFleet, engine: RunEngine) -> None:
-    """Let an upstream send nothing for a while."""
+    """Let an upstream send nothing for `PAUSE_MS`."""
     engine.silent = True
     await fleet.clock.async_sleep(PAUSE_MS)
     engine.silent = False
@@ -40,8 +40,8 @@
 
 @pytest.mark.parametrize("vms", [SMALL, LARGE])
 @pytest.mark.parametrize("pause_after_ms", [5, 300])
-def test_a_stream_on_its_last_attempt_outlasts_a_pause(vms: int, pause_after_ms: int) -> None:
-    """Guards against cutting a stream for its silence when no other upstream may run it."""
+def test_stream_on_its_last_attempt_survives_a_pause(vms: int, pause_after_ms: int) -> None:
+    """Guards against cutting a silent stream that may not be run at another upstream."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = fleet.add_engines(3)
@@ -62,8 +62,8 @@
 
 @pytest.mark.parametrize("vms", [SMALL, LARGE])
 @pytest.mark.parametrize("others", ["none", "down", "draining"])
-def test_a_stream_without_another_upstream_outlasts_a_pause(vms: int, others: str) -> None:
-    """Guards against cutting a stream for its silence when no other upstream can take it."""
+def test_stream_without_another_upstream_survives_a_pause(vms: int, others: str) -> None:
+    """Guards against cutting a silent stream when no other upstream can take it."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         (only,) = fleet.add_engines(1)
@@ -83,8 +83,8 @@
     run_fleet(scenario)
 
 
-def test_a_request_without_retry_budget_outlasts_a_pause() -> None:
-    """Guards against refusing a request for its upstream's silence when no retry is left."""
+def test_request_without_retry_budget_survives_a_pause() -> None:
+    """Guards against refusing a request for its upstream's silence when the retry budget is spent."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = fleet.add_engines(2)
@@ -103,13 +103,13 @@
 
 @dataclass(slots=True)
 class SlowResponder(FakeResponder):
-    """A caller whose connection takes nothing more for a while, once."""
+    """A caller whose connection stalls once, for `PAUSE_MS`."""
 
     stalls_at: int = 5
 
     def write(self, data: bytes) -> asyncio.Future[None] | None:
-        """Take a piece, late."""
-        # A class with slots is made anew by its decorator, which `super()` does not know.
+        """Record a chunk; stall at chunk `stalls_at`."""
+        # `dataclass(slots=True)` creates a new class, so `super()` without arguments would fail here.
         FakeResponder.write(self, data)
         if len(self.event_times) != self.stalls_at:
             return None
@@ -119,8 +119,8 @@
         await self.clock.async_sleep(PAUSE_MS)
 
 
-def test_a_caller_that_reads_slowly_is_not_taken_for_a_silent_upstream() -> None:
-    """Guards against moving or cutting a stream that waits for its own caller."""
+def test_slow_caller_is_not_taken_for_a_silent_upstream() -> None:
+    """Guards against moving or cutting a stream that waits for its own caller to read."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = fleet.add_engines(3)
@@ -135,8 +135,8 @@
 
 
 @pytest.mark.parametrize("silent_after_ms", [5, 300])
-def test_a_silent_last_upstream_is_waited_for_until_the_deadline(silent_after_ms: int) -> None:
-    """Guards against holding a caller longer than its deadline for an upstream that stays silent."""
+def test_last_silent_upstream_is_awaited_until_the_deadline(silent_after_ms: int) -> None:
+    """Guards against keeping a caller waiting past its deadline for an upstream that stays silent."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         (engine,) = fleet.add_engines(1)
@@ -158,10 +158,10 @@
 
 @pytest.mark.parametrize("fault", ["reset", "refuse", "down"])
 @pytest.mark.parametrize("pause_after_ms", [5, 300])
-def test_a_stream_goes_back_where_no_other_upstream_takes_it(
+def test_stream_returns_to_its_upstream_when_no_other_takes_it(
     fault: str, pause_after_ms: int
 ) -> None:
-    """Guards against losing a request that left a silent upstream for one that does not take it."""
+    """Guards against losing a request moved from a silent upstream to one that fails or refuses it."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = fleet.add_engines(2)
@@ -180,8 +180,8 @@
 
 
 @pytest.mark.parametrize("pause_after_ms", [5, 300])
-def test_upstreams_that_are_silent_at_once_lose_no_request(pause_after_ms: int) -> None:
-    """Guards against requests that leave two silent upstreams for each other and find both down."""
+def test_upstreams_silent_at_the_same_time_lose_no_request(pause_after_ms: int) -> None:
+    """Guards against requests that move between two silent upstreams and find both marked down."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = fleet.add_engines(2)
@@ -201,7 +201,7 @@
 
 
 def test_requests_that_share_the_last_retry_are_all_answered() -> None:
-    """Guards against runs left together for a retry budget that has room for one of them."""
+    """Guards against several runs abandoned at once for a retry budget that allows only one retry."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         silent, other = fleet.add_engines(2)
@@ -228,8 +228,8 @@
     run_fleet(scenario)
 
 
-def test_a_run_at_an_upstream_that_left_the_list_is_not_left_early() -> None:
-    """Guards against taking a pause for the end of an upstream that is not listed any more."""
+def test_run_at_an_unlisted_upstream_is_not_abandoned_early() -> None:
+    """Guards against taking a pause for a crash of an upstream that is no longer listed."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = fleet.add_engines(2)
--- a/tests/components/forwarding/test_streams.py
+++ b/tests/components/forwarding/test_streams.py
@@ -1,11 +1,11 @@
-"""Streams through a fleet: whole, in order, taken up elsewhere, ended with their callers."""
+"""Tests of streams: completeness, order, resumption elsewhere, and disconnecting callers."""
 
 import asyncio
 from itertools import pairwise
 
 import pytest
 
-from goldcreststair.components.forwarding.const import MIN_LEFT_MS
+from goldcreststair.components.forwarding.const import MIN_REMAINING_MS
 from goldcreststair.helpers.refusals import RefusalCode
 from standins.gateways import GatewayFleet
 from standins.run_engines import RunEngine, make_stream
@@ -13,12 +13,12 @@
 
 
 def find_running(engines: list[RunEngine]) -> RunEngine:
-    """Return the engine that runs something."""
+    """Return the first engine that runs something."""
     return next(engine for engine in engines if engine.running)
 
 
 @pytest.mark.parametrize("path", ["/stream/a", "/once/a"])
-def test_a_stream_arrives_whole_with_its_engines_head(path: str) -> None:
+def test_stream_arrives_complete_with_the_head_of_its_engine(path: str) -> None:
     async def scenario(fleet: GatewayFleet) -> None:
         fleet.add_engines(3)
         (member,) = await fleet.async_add_many(1)
@@ -31,12 +31,11 @@
 
 
 @pytest.mark.parametrize("crash_after_ms", [0, 20, 100, 400])
-def test_a_resumable_stream_goes_on_after_its_engine_crashed(crash_after_ms: int) -> None:
-    """A designer's draft stopped in the middle of a sentence.
+def test_resumable_stream_continues_after_a_crash_of_its_engine(crash_after_ms: int) -> None:
+    """Guards against a stream that stops in the middle because its engine crashed.
 
-    The engine crashed while it wrote. Another one goes on after the last event that the caller has: no
-    event is missing or doubled, the head is the first engine's, and the pause stays below what callers
-    count as good.
+    Another engine continues after the last event that the caller has: no event is missing or doubled, the
+    head is the first engine's, and the pause stays below the 250 ms that callers accept.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -58,8 +57,8 @@
 
 
 @pytest.mark.parametrize("engines_left", [1, 3])
-def test_a_begun_stream_waits_for_upstreams_that_are_full(engines_left: int) -> None:
-    """Guards against cutting a begun stream while the upstreams left are full for a moment."""
+def test_begun_stream_waits_for_full_upstreams(engines_left: int) -> None:
+    """Guards against cutting a begun stream while the remaining upstreams are full for a moment."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = fleet.add_engines(1 + engines_left)
@@ -83,8 +82,8 @@
 
 
 @pytest.mark.parametrize("deadline_ms", [2_000, 2_010, 2_020, 2_030, 2_040])
-def test_full_upstreams_are_not_asked_without_end(deadline_ms: int) -> None:
-    """Guards against a begun stream that storms full upstreams, to the last ms of its deadline."""
+def test_attempts_at_full_upstreams_are_bounded(deadline_ms: int) -> None:
+    """Guards against a begun stream that keeps retrying full upstreams until its deadline."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = fleet.add_engines(60)
@@ -102,17 +101,17 @@
         answer = await sending
         assert answer.aborted
         assert len(fleet.engines.deadlines) - sent_before <= 20
-        assert min(fleet.engines.deadlines) >= MIN_LEFT_MS
+        assert min(fleet.engines.deadlines) >= MIN_REMAINING_MS
         page = member.core.meters.render().decode()
         assert 'goldcreststair_given_up_total{failure="refused"} 1.0' in page
 
     run_fleet(scenario)
 
 
-def test_a_silent_engine_is_left_within_the_pause_that_is_still_good() -> None:
-    """A stream stood still until its caller gave up after two seconds, with its connection open.
+def test_silent_engine_is_abandoned_within_the_accepted_pause() -> None:
+    """Guards against a stream that stalls on an open connection until its caller gives up after 2 s.
 
-    The engine had gone dark: no reset tells of it, only silence of all it does.
+    The engine stopped without a connection reset, so only the silence of all its runs shows the failure.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -130,11 +129,11 @@
     run_fleet(scenario)
 
 
-def test_a_stream_that_may_run_once_is_cut_and_not_run_again() -> None:
-    """A ground was booked twice.
+def test_non_repeatable_stream_is_cut_and_not_run_again() -> None:
+    """Guards against a call that runs twice, such as a booking made twice.
 
-    The engine crashed after it had begun a call that must not be repeated. What was sent of it is cut,
-    so that it cannot pass for whole, and no other engine runs it.
+    The engine crashed after it had begun a call that must not be repeated. The connection is closed, so
+    that the partial answer cannot be taken for a complete one, and no other engine runs the call.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -152,7 +151,7 @@
 
 
 @pytest.mark.parametrize("path", ["/book/a", "/once/a", "/stream/a", "/call/a"])
-def test_a_request_that_no_engine_ran_moves_to_one_that_does(path: str) -> None:
+def test_refused_request_moves_to_an_engine_that_runs_it(path: str) -> None:
     async def scenario(fleet: GatewayFleet) -> None:
         engines = fleet.add_engines(3)
         (member,) = await fleet.async_add_many(1)
@@ -169,10 +168,10 @@
     ("path", "code"),
     [("/book/a", RefusalCode.UPSTREAM_FAILED), ("/call/a", RefusalCode.UPSTREAM_FAILED)],
 )
-def test_a_refusal_after_a_run_promises_nothing(path: str, code: RefusalCode) -> None:
-    """A caller was told that its booking had not run, booked again, and had two.
+def test_refusal_after_a_run_does_not_say_not_run(path: str, code: RefusalCode) -> None:
+    """Guards against a caller that books twice because a refusal says "not run" after a run.
 
-    The engine ran the call and was lost with the answer: the refusal must not say "not run".
+    The engine ran the call and crashed before it sent the answer.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -192,8 +191,8 @@
     run_fleet(scenario)
 
 
-def test_a_caller_that_goes_away_ends_its_run() -> None:
-    """Engines went on writing for callers that had closed their connections, while others waited."""
+def test_run_ends_when_its_caller_disconnects() -> None:
+    """Guards against engines that keep generating for closed connections while other callers wait."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = fleet.add_engines(2)
@@ -214,7 +213,7 @@
     ("silent_after_ms", "deadline_ms"),
     [(10, 400), (200, 400)],
 )
-def test_the_final_answer_comes_by_the_callers_deadline(
+def test_final_answer_comes_by_the_deadline_of_the_caller(
     silent_after_ms: int, deadline_ms: int
 ) -> None:
     async def scenario(fleet: GatewayFleet) -> None:
