--- a/goldcreststair/components/forwarding/service.py
+++ b/goldcreststair/components/forwarding/service.py
@@ -25,9 +25,9 @@
 from goldcreststair.components.placement.service import PLACEMENT
 from goldcreststair.components.quotas.service import QUOTAS
 from goldcreststair.components.requests.admission import (
-    choose_ready_retry_ms,
+    choose_not_ready_retry_ms,
     choose_service,
-    find_end,
+    find_deadline,
     find_route,
     identify_customer,
     needs_key,
@@ -122,8 +122,8 @@
         catalogue = self._board.read(CATALOGUE)
         if not catalogue.version or self._links.is_isolated():
             message = "cut off from the fleet" if catalogue.version else "no catalogue yet"
-            away = self._core.store_contact.is_away()
-            retry_ms = choose_ready_retry_ms(request.deadline_ms, store_away=away)
+            unavailable = self._core.store_contact.is_away()
+            retry_ms = choose_not_ready_retry_ms(request.deadline_ms, store_unavailable=unavailable)
             return Err(make_retryable_refusal(message, RefusalCode.NOT_READY, retry_ms))
         found = find_route(catalogue, request)
         if isinstance(found, Err):
@@ -141,7 +141,7 @@
             message = f"fingerprint {fingerprint} crashed the upstreams that ran it"
             code = RefusalCode.QUARANTINED
             return Err(Refusal(message, code, STATUS_UNAVAILABLE, True))
-        ends_at = find_end(request, route)
+        ends_at = find_deadline(request, route)
         if not self._can_finish(route, ends_at):
             message = "this VM shuts down before the answer would be complete"
             return Err(make_retryable_refusal(message, RefusalCode.NOT_READY, MIN_RETRY_AFTER_MS))
--- a/goldcreststair/components/requests/__init__.py
+++ b/goldcreststair/components/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests of callers, and which of them may run."""
+"""Admission of callers' requests."""
--- a/goldcreststair/components/requests/admission.py
+++ b/goldcreststair/components/requests/admission.py
@@ -1,13 +1,13 @@
-"""Which requests may run: route, key and quota; no I/O."""
+"""Admission decisions: route, customer, service and deadline of a request; no I/O."""
 
 from result import Err, Ok, Result
 
 from goldcreststair.clock import Millis
 from goldcreststair.components.catalogue.models import Catalogue, CatalogueCustomer, Route
 from goldcreststair.components.requests.const import (
-    AWAY_RETRY_SHARE,
     DEFAULT_DEADLINE_MS,
     NOT_READY_RETRY_MS,
+    STORE_DOWN_RETRY_FRACTION,
 )
 from goldcreststair.components.requests.models import CallerRequest
 from goldcreststair.helpers.api_keys import hash_key
@@ -18,7 +18,7 @@
 
 
 def find_route(catalogue: Catalogue, request: CallerRequest) -> Result[Route, Refusal]:
-    """Return the route of a request."""
+    """Return the route of a request, or a refusal if none matches its host and path."""
     route = catalogue.find_route(request.host, request.path)
     if route is None:
         code = RefusalCode.UNKNOWN_ROUTE
@@ -27,13 +27,13 @@
 
 
 def needs_key(catalogue: Catalogue, route: Route) -> bool:
-    """Return whether the requests of a route need a customer's key."""
+    """Return whether requests of a route need a customer's key."""
     return not route.anonymous and bool(catalogue.customers)
 
 
 def identify_customer(catalogue: Catalogue, key: str) -> Result[CatalogueCustomer, Refusal]:
-    """Return the customer whose key this is."""
-    # Keys are found by their hash, so the time of the look-up tells nothing about the key.
+    """Return the customer that a key belongs to."""
+    # Keys are looked up by their hash, so the time of the look-up reveals nothing about the key.
     name = catalogue.keys.get(hash_key(key)) if key else None
     customer = catalogue.customers.get(name) if name is not None else None
     if customer is None:
@@ -42,8 +42,8 @@
     return Ok(customer)
 
 
-def choose_service(route: Route, chance: float) -> str:
-    """Return one of the route's services by weight; `chance` lies between 0 and 1.
+def choose_service(route: Route, fraction: float) -> str:
+    """Return one of the route's services by weight; `fraction` is a random number between 0 and 1.
 
     >>> from goldcreststair.components.catalogue.models import CallKind, WeightedService
     >>> services = (WeightedService("a", 90), WeightedService("b", 10))
@@ -51,29 +51,29 @@
     >>> choose_service(route, 0.5), choose_service(route, 0.95)
     ('a', 'b')
     """
-    left = chance * sum(service.weight for service in route.services)
+    remaining = fraction * sum(service.weight for service in route.services)
     for service in route.services:
-        left -= service.weight
-        if left < 0:
+        remaining -= service.weight
+        if remaining < 0:
             return service.service
     return route.services[-1].service
 
 
-def find_end(request: CallerRequest, route: Route) -> Millis:
-    """Return when the answer must be whole."""
+def find_deadline(request: CallerRequest, route: Route) -> Millis:
+    """Return the time by which the answer must be complete."""
     limits = [limit for limit in (request.deadline_ms, route.timeout_ms) if limit > 0]
     return Millis(request.arrived_at + min(limits, default=DEFAULT_DEADLINE_MS))
 
 
-def choose_ready_retry_ms(deadline_ms: int, *, store_away: bool) -> int:
-    """Return when to come back to a VM that cannot know yet what is allowed.
+def choose_not_ready_retry_ms(deadline_ms: int, *, store_unavailable: bool) -> int:
+    """Return the retry-after time in ms of a VM that cannot decide yet what is allowed.
 
-    Load it answers: all VMs return while the store is silent. A caller has one or two returns; told to
-    come back after half a second it spends them within the same outage.
+    Callers retry once or twice. When all VMs restart during a store outage, half a second would let
+    them use up their retries within the same outage.
 
-    >>> choose_ready_retry_ms(5_000, store_away=False), choose_ready_retry_ms(5_000, store_away=True)
+    >>> choose_not_ready_retry_ms(5_000, store_unavailable=False), choose_not_ready_retry_ms(5_000, store_unavailable=True)
     (500, 1500)
     """
-    if not store_away:
+    if not store_unavailable:
         return NOT_READY_RETRY_MS
-    return max(NOT_READY_RETRY_MS, int(deadline_ms * AWAY_RETRY_SHARE))
+    return max(NOT_READY_RETRY_MS, int(deadline_ms * STORE_DOWN_RETRY_FRACTION))
--- a/goldcreststair/components/requests/models.py
+++ b/goldcreststair/components/requests/models.py
@@ -1,4 +1,4 @@
-"""One request of a caller, as far as it is read."""
+"""Requests of callers, before and after admission."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """What a caller sent."""
+    """A request as received from a caller."""
 
     request_id: str
     method: str
@@ -19,36 +19,36 @@
     target: str
     """Path and query, as sent."""
     headers: Headers
-    """Those that an upstream may see."""
+    """The headers that an upstream may receive."""
     body: bytes
     key: str
-    """Empty if it brought none."""
+    """The API key; empty if the caller sent none."""
     deadline_ms: int
-    """Time that the caller waits from `arrived_at`; 0 if it named none."""
+    """Time that the caller waits, counted from `arrived_at`; 0 if it sent none."""
     arrived_at: Millis
     resume_after: int = 0
-    """Number of the last event that the caller has; 0 starts anew."""
+    """Number of the last event that the caller received; 0 runs from the start."""
     prompt_parts: tuple[str, ...] = ()
-    """Names of the prompt's parts in their order; the last is the request's own."""
+    """Names of the prompt's parts in order; the last part belongs to this request alone."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdmittedRequest:
-    """A request that may run."""
+    """A request that was admitted."""
 
     request: CallerRequest
     route: Route
     customer: CatalogueCustomer | None
-    """None on a route that asks for no key."""
+    """None on a route that needs no key."""
     service: str
     ends_at: Millis
-    """When its answer must be whole."""
+    """Deadline for the complete answer."""
     fingerprint: str = ""
-    """Recognises it when its caller sends it again."""
+    """Identifies the request when its caller sends it again."""
 
     @property
     def affinity(self) -> str:
-        """What names the part of its prompt that others share."""
+        """Name of the last prompt part that other requests share; empty without affinity."""
         if not self.route.affinity or len(self.request.prompt_parts) < 2:
             return ""
         return self.request.prompt_parts[-2]
--- a/tests/components/requests/test_regions.py
+++ b/tests/components/requests/test_regions.py
@@ -1,4 +1,7 @@
-"""Requests stay in the regions that their route and their customer allow: upstreams, owners of jobs, addresses."""
+"""Tests that requests stay in the regions allowed by their route and customer.
+
+This covers upstreams, job owners and the addresses that callers receive.
+"""
 
 import asyncio
 from collections.abc import Mapping
@@ -19,11 +22,11 @@
     ([], ["r1", "r2"], {"dc1", "dc2"}),
     (["r0", "r1"], ["r1", "r2"], {"dc1"}),
 ]
-"""Regions of the routes, of the customer, and the data centres that are left."""
+"""Allowed regions of the routes and of the customer, and the data centres that satisfy both."""
 
 
 def make_routes(regions: list[str]) -> tuple[Mapping[str, Any], ...]:
-    """Return the usual routes within some regions."""
+    """Return the default routes restricted to some regions."""
     return tuple({**route, "regions": regions} for route in DEFAULT_ROUTES)
 
 
@@ -40,23 +43,23 @@
     return engines
 
 
-def list_used(engines: list[RunEngine]) -> set[str]:
+def list_used_data_centres(engines: list[RunEngine]) -> set[str]:
     """Return the data centres whose engines ran anything."""
     return {engine.data_centre for engine in engines if engine.ran}
 
 
 async def async_load(fleet: GatewayFleet) -> list[FakeResponder]:
-    """Send requests of each kind to all daemons, more than the engines of a region serve at once."""
+    """Send requests of each kind to all daemons, more than the engines of one region have slots for."""
     paths = ("/stream/1", "/once/1", "/call/1", "/book/1")
     sent = [async_send(fleet, each, path) for each in fleet.members for path in paths * 5]
     return await asyncio.gather(*sent)
 
 
 @pytest.mark.parametrize(("routes", "customer", "allowed"), PLACES)
-def test_upstreams_of_other_regions_get_nothing(
+def test_upstreams_of_other_regions_get_no_requests(
     routes: list[str], customer: list[str], allowed: set[str]
 ) -> None:
-    """Guards against requests that overflow, or are retried, into a region that is not allowed."""
+    """Guards against requests that overflow or are retried into a region that is not allowed."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = await async_start(fleet, routes, customer)
@@ -65,14 +68,14 @@
         engines[1].reset = engines[4].refuse = False
         await async_submit(fleet, fleet.members[0], "j", 20)
         await fleet.clock.async_sleep(10_000)
-        assert list_used(engines) == allowed
+        assert list_used_data_centres(engines) == allowed
         assert (await async_read(fleet.members[1], "j")).total == 20
 
     run_fleet(scenario)
 
 
-def test_a_region_without_an_upstream_is_refused_at_once() -> None:
-    """Guards against callers who wait for an upstream that is nowhere they allow."""
+def test_request_without_upstream_in_its_regions_is_refused_at_once() -> None:
+    """Guards against callers that wait although no allowed region has an upstream."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = await async_start(fleet, ["r9"], [])
@@ -80,13 +83,13 @@
             assert responder.refusal is not None and responder.refusal.not_run
             assert responder.refusal.code is RefusalCode.NO_UPSTREAM
             assert responder.refusal.retry_after_ms > 0
-        assert not list_used(engines)
+        assert not list_used_data_centres(engines)
 
     run_fleet(scenario)
 
 
 def test_jobs_are_taken_over_within_their_regions() -> None:
-    """Guards against a job's bodies that are read by a VM of a region that is not allowed."""
+    """Guards against a takeover by a VM of a region that may not read the job's bodies."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         await async_start(fleet, ["r1"], [], 9)
@@ -106,8 +109,8 @@
     run_fleet(scenario)
 
 
-def test_a_submission_is_passed_on_within_its_regions() -> None:
-    """Guards against a job that a VM without the store hands to one of a region that is not allowed."""
+def test_submission_is_relayed_within_its_regions() -> None:
+    """Guards against a VM without the store that relays a job into a region that is not allowed."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         await async_start(fleet, ["r1"], [])
@@ -133,7 +136,7 @@
         ("other.example", "r9", {"r0", "r1", "r2"}),
     ],
 )
-def test_callers_are_sent_to_their_own_region_or_an_allowed_one(
+def test_callers_get_addresses_of_their_own_or_an_allowed_region(
     host: str, region: str, named: set[str]
 ) -> None:
     async def scenario(fleet: GatewayFleet) -> None:
@@ -146,8 +149,8 @@
     run_fleet(scenario)
 
 
-def test_no_address_is_named_where_the_allowed_regions_have_no_vm() -> None:
-    """Guards against callers that are led to a region where their request may not be handled."""
+def test_no_address_is_returned_when_the_allowed_regions_have_no_vm() -> None:
+    """Guards against sending callers to a region where their request may not be handled."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         await async_start(fleet, ["r9"], [])
