--- a/goldcreststair/components/entry/service.py
+++ b/goldcreststair/components/entry/service.py
@@ -1,4 +1,4 @@
-"""Answers address questions and readiness checks, and lets this daemon leave."""
+"""Service for address lookups, readiness checks and the graceful shutdown of this daemon."""
 
 import asyncio
 import logging
@@ -19,51 +19,51 @@
 _LOGGER = logging.getLogger(__name__)
 
 READY_CHECK_MS: Final = 250
-"""How often this daemon looks whether it is cut off; news of other kinds come by themselves."""
-ACCEPT_SHARE: Final = 0.55
-"""Part of the grace in which a leaving daemon still accepts connections: callers keep an answer for
-up to three times its lifetime, and would meet a closed port."""
-END_SHARE: Final = 0.9
-"""Part of the grace after which a leaving daemon ends, whatever still runs."""
+"""Interval of the isolation check; other changes arrive through subscriptions."""
+ACCEPT_FRACTION: Final = 0.55
+"""Fraction of the grace period in which a leaving daemon still accepts connections: callers cache an
+address for up to three times its lifetime and would otherwise find a closed port."""
+END_FRACTION: Final = 0.9
+"""Fraction of the grace period after which a leaving daemon ends, whatever still runs."""
 DRAIN_CHECK_MS: Final = 50
 START_WAIT_MS: Final = 300
-"""Longest time that a daemon which has just started leaves its first callers waiting."""
-START_LOOK_MS: Final = 5
-KEPT_LIFETIMES: Final = 3
-"""Callers keep an answer for up to so many of its lifetimes."""
+"""Longest time that a daemon which has just started keeps its first callers waiting."""
+START_POLL_MS: Final = 5
+CACHED_LIFETIMES: Final = 3
+"""Callers cache an address lookup for up to this many of its lifetimes."""
 
 
 class LeaveHandler(Protocol):
-    """Work that a leaving daemon has to bring to its end or hand over."""
+    """Work that a leaving daemon has to finish or hand over."""
 
     def begin_leave(self) -> None:
-        """Take no new work of its own."""
+        """Start no new work."""
 
     def count_running(self) -> int:
-        """Return how much is not at its end."""
+        """Return the number of unfinished pieces of work."""
 
     def stop_accepting(self) -> None:
         """Accept no new connections."""
 
     def end(self) -> None:
-        """Begin nothing more, and end what still runs; the leave is over."""
+        """Start nothing more and end what still runs; the leave is over."""
 
 
 class EntryService:
-    """The daemon's face towards callers that look for a VM."""
+    """Tells callers which VMs to use, and runs the readiness and the leave of this one."""
 
     def __init__(self, core: GatewayCore) -> None:
-        """Start as not ready."""
+        """Publish this daemon as not ready."""
         self._core = core
         self._section = core.blackboard.open_section(OWN_STATE, OwnState())
         self._links = core.get(FLEET_LINKS)
-        self._leavers: list[LeaveHandler] = []
+        self._leave_handlers: list[LeaveHandler] = []
         self._left = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
         self._unsubscribe: list[Callable[[], None]] = []
 
     async def async_start(self) -> None:
-        """Become ready once there is what requests need."""
+        """Start to update the readiness of this daemon."""
         board = self._core.blackboard
         self._unsubscribe = [
             board.subscribe(CATALOGUE, lambda _: self._update()),
@@ -72,7 +72,7 @@
         self._tasks.append(asyncio.create_task(self._async_check()))
 
     async def async_close(self) -> None:
-        """Stop."""
+        """Stop updating the readiness, and cancel a leave in progress."""
         for unsubscribe in self._unsubscribe:
             unsubscribe()
         for task in self._tasks:
@@ -80,13 +80,13 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._tasks.clear()
 
-    def add_leave_handler(self, leaver: LeaveHandler) -> None:
-        """Let a leave wait for this work."""
-        self._leavers.append(leaver)
+    def add_leave_handler(self, handler: LeaveHandler) -> None:
+        """Register work that a leave waits for."""
+        self._leave_handlers.append(handler)
 
     @property
     def leaving(self) -> bool:
-        """Whether this daemon leaves."""
+        """Whether this daemon is leaving."""
         return self._core.blackboard.read(OWN_STATE).state is VmState.LEAVING
 
     def is_ready(self) -> bool:
@@ -94,34 +94,34 @@
         return self._core.blackboard.read(OWN_STATE).state is VmState.READY
 
     async def async_await_ready(self) -> None:
-        """Return once callers may be sent here, or after a short while.
+        """Return once callers may be sent here, or after `START_WAIT_MS`.
 
-        Callers who came while the daemon was loaded would else be refused for the few ms that its
-        first reads of the store take.
+        Callers that connect while the daemon starts would otherwise be refused during the few ms that
+        its first reads of the store take.
         """
         ends_at = self._core.clock.now() + START_WAIT_MS
         while not (self.is_ready() or self.leaving) and self._core.clock.now() < ends_at:
-            await self._core.clock.async_sleep(START_LOOK_MS)
+            await self._core.clock.async_sleep(START_POLL_MS)
 
     def list_addresses(self, data_centre: str, region: str, host: str = "") -> list[str]:
-        """Return the addresses for a caller of a host; empty if no VM is known to be ready."""
+        """Return the addresses for a caller that requests `host`; empty if no VM is known to be ready."""
         ready = self._core.blackboard.read(FLEET).list_ready()
         allowed = find_host_regions(self._core.blackboard.read(CATALOGUE), host)
         return choose_addresses(ready, data_centre, region, self._core.random, allowed)
 
     def leave(self) -> None:
-        """Begin a graceful shutdown; asking again changes nothing."""
+        """Begin a graceful shutdown; further calls have no effect."""
         if self.leaving:
             return
         _LOGGER.info("Leaving", extra={"session": self._core.session_id})
         began_at = self._core.clock.now()
-        ends_at = Millis(began_at + int(self._grace_ms * END_SHARE))
-        kept_ms = self._core.settings.answer_ttl_s * MS_PER_SECOND * KEPT_LIFETIMES
-        self._section.write(OwnState(VmState.LEAVING, ends_at, Millis(began_at + kept_ms)))
+        ends_at = Millis(began_at + int(self._grace_ms * END_FRACTION))
+        cached_ms = self._core.settings.answer_ttl_s * MS_PER_SECOND * CACHED_LIFETIMES
+        self._section.write(OwnState(VmState.LEAVING, ends_at, Millis(began_at + cached_ms)))
         self._tasks.append(asyncio.create_task(self._async_leave(began_at, ends_at)))
 
     async def async_wait(self) -> None:
-        """Return when this daemon has left."""
+        """Wait until this daemon has left."""
         await self._left.wait()
 
     @property
@@ -129,16 +129,16 @@
         return self._core.settings.grace_s * MS_PER_SECOND
 
     async def _async_leave(self, began_at: Millis, ends_at: Millis) -> None:
-        for leaver in self._leavers:
-            leaver.begin_leave()
-        await self._core.clock.async_sleep(int(self._grace_ms * ACCEPT_SHARE))
-        for leaver in self._leavers:
-            leaver.stop_accepting()
+        for handler in self._leave_handlers:
+            handler.begin_leave()
+        await self._core.clock.async_sleep(int(self._grace_ms * ACCEPT_FRACTION))
+        for handler in self._leave_handlers:
+            handler.stop_accepting()
         while self._count_running() and self._core.clock.now() < ends_at:
             await self._core.clock.async_sleep(DRAIN_CHECK_MS)
         cut = self._count_running()
-        for leaver in self._leavers:
-            leaver.end()
+        for handler in self._leave_handlers:
+            handler.end()
         level = logging.WARNING if cut else logging.INFO
         _LOGGER.log(
             level, "Left", extra={"cut": cut, "after_ms": self._core.clock.now() - began_at}
@@ -146,7 +146,7 @@
         self._left.set()
 
     def _count_running(self) -> int:
-        return sum(leaver.count_running() for leaver in self._leavers)
+        return sum(handler.count_running() for handler in self._leave_handlers)
 
     async def _async_check(self) -> None:
         while True:
--- a/tests/components/entry/test_addresses.py
+++ b/tests/components/entry/test_addresses.py
@@ -1,4 +1,4 @@
-"""Which addresses callers get."""
+"""Tests of the choice of addresses for callers."""
 
 import random
 
@@ -9,7 +9,7 @@
 
 
 def make_vms(*places: tuple[str, str]) -> list[FleetVm]:
-    """Return daemons by data centre and region."""
+    """Return one VM for each pair of data centre and region."""
     return [
         FleetVm(f"s{n}", f"10.0.0.{n}", 1, f"10.0.0.{n}:80", data_centre, region)
         for n, (data_centre, region) in enumerate(places)
@@ -25,13 +25,13 @@
         ([], []),
     ],
 )
-def test_the_nearest_that_leave_a_choice(
+def test_nearest_addresses_with_an_alternative_are_chosen(
     places: list[tuple[str, str]], expected: list[int]
 ) -> None:
     found = choose_addresses(make_vms(*places), "a", "r", random.Random(1))
     assert found == [f"10.0.0.{n}:80" for n in expected]
 
 
-def test_no_more_than_callers_read() -> None:
+def test_number_of_addresses_is_limited() -> None:
     vms = make_vms(*[("a", "r")] * 200)
     assert len(choose_addresses(vms, "a", "r", random.Random(1))) == MAX_ADDRESSES
--- a/tests/components/entry/test_leaving.py
+++ b/tests/components/entry/test_leaving.py
@@ -1,13 +1,13 @@
-"""Which requests a leaving daemon serves, and which it sends away at once."""
+"""Tests which requests a leaving daemon serves and which it refuses at once."""
 
 import pytest
 
-from goldcreststair.components.entry.service import END_SHARE, ENTRY
+from goldcreststair.components.entry.service import END_FRACTION, ENTRY
 from standins.gateways import GatewayFleet
 from tests.helpers.gateways import async_send, run_fleet
 
 GRACE_MS = 8_000
-AT_ONCE_MS = 5
+IMMEDIATE_MS = 5
 SHORT_EVENTS = 20
 """Takes about 640 ms."""
 LONG_EVENTS = 120
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("path", ["/stream/a", "/once/a"])
 @pytest.mark.parametrize(
-    ("seen_events", "events", "arrives_ms", "deadline_ms", "served"),
+    ("earlier_events", "events", "arrives_ms", "deadline_ms", "served"),
     [
         (SHORT_EVENTS, SHORT_EVENTS, 0, 5_000, True),
         (LONG_EVENTS, LONG_EVENTS, 0, 5_000, True),
@@ -35,17 +35,17 @@
         (SHORT_EVENTS, SHORT_EVENTS, 7_300, 5_000, False),
     ],
 )
-def test_a_late_request_is_served_to_its_end_or_sent_away_at_once(
-    path: str, seen_events: int, events: int, arrives_ms: int, deadline_ms: int, served: bool
+def test_late_request_is_served_to_its_end_or_refused_at_once(
+    path: str, earlier_events: int, events: int, arrives_ms: int, deadline_ms: int, served: bool
 ) -> None:
-    """A request that came late to a leaving VM was run for seconds, and then cut."""
+    """Guards against requests that arrive late at a leaving VM, run for seconds and are then cut."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         fleet.add_engines(1)
         leaving, _ = await fleet.async_add_many(2)
         await fleet.clock.async_sleep(1_000)
-        fleet.engines.events = seen_events
-        for _ in range(5 if seen_events else 0):
+        fleet.engines.events = earlier_events
+        for _ in range(5 if earlier_events else 0):
             assert (await async_send(fleet, leaving, path)).whole
         fleet.engines.events = events
         leaving.core.get(ENTRY).leave()
@@ -55,10 +55,10 @@
         answer = await async_send(fleet, leaving, path, deadline_ms=deadline_ms)
         assert answer.whole == served
         if served:
-            assert answer.ended_at <= began_at + GRACE_MS * END_SHARE
+            assert answer.ended_at <= began_at + GRACE_MS * END_FRACTION
             return
         assert answer.refusal is not None and answer.refusal.not_run
         assert answer.refusal.status == 503 and answer.refusal.retry_after_ms > 0
-        assert answer.ended_at - sent_at <= AT_ONCE_MS
+        assert answer.ended_at - sent_at <= IMMEDIATE_MS
 
     run_fleet(scenario)
