--- a/goldcreststair/components/keys/component.py
+++ b/goldcreststair/components/keys/component.py
@@ -1,4 +1,4 @@
-"""Puts the parts of the keys component together."""
+"""Assembles the keys component."""
 
 from tornado.web import url
 
@@ -11,10 +11,10 @@
 
 
 class KeyComponent:
-    """The controller, and withdrawals where there is a fleet."""
+    """The key controller, and the withdrawal service if the daemon is part of a fleet."""
 
     def __init__(self, parts: list[Component]) -> None:
-        """Take the parts in the order of their start."""
+        """Initialise with the parts in the order in which they start."""
         self._parts = parts
 
     async def async_start(self) -> None:
@@ -23,13 +23,13 @@
             await part.async_start()
 
     async def async_close(self) -> None:
-        """Close all parts."""
+        """Close all parts in reverse order."""
         for part in reversed(self._parts):
             await part.async_close()
 
 
 def create_component(core: Core) -> Component:
-    """Offer the keys and add the operators' call."""
+    """Create the component, register its services and add the operators' HTTP route."""
     controller = KeyController(core)
     core.offer(KEYS, controller)
     parts: list[Component] = [controller]
--- a/goldcreststair/components/keys/controller.py
+++ b/goldcreststair/components/keys/controller.py
@@ -1,4 +1,4 @@
-"""Turns keys into identities from the configuration in force and the withdrawals heard."""
+"""Resolves keys to identities by the current configuration and the received withdrawals."""
 
 import logging
 from collections.abc import Callable
@@ -19,10 +19,10 @@
 
 
 class KeyController:
-    """Knows the keys in force and tells watchers when theirs is withdrawn."""
+    """Resolves keys and notifies watchers when their key is withdrawn."""
 
     def __init__(self, core: Core) -> None:
-        """Follow the configuration and the set of withdrawn keys."""
+        """Subscribe to the configuration and to the set of withdrawn keys."""
         self._board = core.blackboard
         self._membership = core.find(MEMBERSHIP)
         self._withdrawn: set[str] = set()
@@ -36,23 +36,23 @@
         """Do nothing; the configuration drives this controller."""
 
     async def async_close(self) -> None:
-        """Stop following."""
+        """Unsubscribe from the configuration."""
         self._unsubscribe()
 
     @property
     def not_durable(self) -> frozenset[str]:
-        """Return the withdrawn keys that the configuration in force does not hold yet."""
+        """Return the hashes of withdrawn keys that the current configuration does not contain yet."""
         return frozenset(self._withdrawn - self._board.read(CONFIGURATION).withdrawn)
 
     def identify(self, key: str) -> Result[Identity, KeyRefused]:
-        """Return whose key this is."""
+        """Return the identity that a key belongs to."""
         configuration = self._board.read(CONFIGURATION)
         if configuration.version == 0:
             return Err(KeyRefused("no configuration yet", temporary=True))
-        # Cut off from the store and most peers, this VM would go on serving withdrawn keys.
+        # A VM cut off from the store and most peers would keep serving withdrawn keys.
         if self._membership is not None and self._membership.is_isolated():
             return Err(KeyRefused("cut off from the fleet", temporary=True))
-        # Keys are found by their hash, so the time of the look-up tells nothing about the key.
+        # Keys are looked up by their hash, so the time of the look-up reveals nothing about the key.
         key_hash = hash_key(key)
         name = configuration.keys.get(key_hash)
         if name is None or key_hash in self._withdrawn:
@@ -60,13 +60,13 @@
         return Ok(Identity(configuration.customers[name], key_hash))
 
     def watch(self, key_hash: str, on_withdrawn: Callable[[], None]) -> Callable[[], None]:
-        """Call back once if the key is withdrawn; returns a function that ends the watch.
+        """Call `on_withdrawn` once if the key is withdrawn; returns a function that ends the watch.
 
-        A key that is gone already calls back at once, before this returns.
+        If the key is no longer valid, `on_withdrawn` is called at once, before this returns.
         """
-        # Withdrawn between `identify` and here, as while the body was read: no later event would
-        # tell the watcher, and its request would run to its end under a key that is gone.
-        if self._is_gone(key_hash):
+        # The key may have been withdrawn after `identify`, for example while the body was read. No
+        # later event would notify the watcher, and its request would run to its end.
+        if self._is_invalid(key_hash):
             on_withdrawn()
             return lambda: None
         watchers = self._watchers.setdefault(key_hash, [])
@@ -80,19 +80,19 @@
 
         return unwatch
 
-    def _is_gone(self, key_hash: str) -> bool:
+    def _is_invalid(self, key_hash: str) -> bool:
         known = self._board.read(CONFIGURATION).keys
         return key_hash in self._withdrawn or key_hash not in known
 
     def _on_withdrawn(self, key_hash: str) -> None:
         self._withdrawn.add(key_hash)
-        self._stop(key_hash)
+        self._notify_watchers(key_hash)
 
     def _on_configuration(self, configuration: Configuration) -> None:
         for key_hash in [key for key in self._watchers if key not in configuration.keys]:
-            self._stop(key_hash)
+            self._notify_watchers(key_hash)
 
-    def _stop(self, key_hash: str) -> None:
+    def _notify_watchers(self, key_hash: str) -> None:
         watchers = self._watchers.pop(key_hash, [])
         if watchers:
             _LOGGER.info("Key withdrawn with %d requests running", len(watchers))
--- a/goldcreststair/components/keys/protocols.py
+++ b/goldcreststair/components/keys/protocols.py
@@ -1,4 +1,4 @@
-"""What other components ask about keys."""
+"""Interface of the keys component."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,28 +13,29 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRefused(GoldcreststairError):
-    """The key is unknown, withdrawn, or cannot be trusted now."""
+    """The key is unknown or withdrawn, or cannot be checked now."""
 
     temporary: bool = False
-    """True when this VM is cut off and cannot know; the caller may ask another VM."""
+    """Whether this VM cannot check keys now, as it has no configuration or is isolated; the caller may
+    retry at another VM."""
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Whose request it is."""
+    """The customer behind a request and the hash of the key used."""
 
     customer: Customer
     key_hash: str
 
 
 class Keys(Protocol):
-    """Turns a caller's key into an identity."""
+    """Resolves callers' keys to identities."""
 
     def identify(self, key: str) -> Result[Identity, KeyRefused]:
-        """Return whose key this is."""
+        """Return the identity that a key belongs to."""
 
     def watch(self, key_hash: str, on_withdrawn: Callable[[], None]) -> Callable[[], None]:
-        """Call back once if the key is withdrawn; returns a function that ends the watch."""
+        """Call `on_withdrawn` once if the key is withdrawn; returns a function that ends the watch."""
 
 
 KEYS: Final = ComponentKey[Keys]("keys")
--- a/goldcreststair/components/keys/views.py
+++ b/goldcreststair/components/keys/views.py
@@ -1,4 +1,4 @@
-"""HTTP routes of operators about keys."""
+"""Operators' HTTP routes for keys."""
 
 import orjson
 
@@ -8,10 +8,10 @@
 
 
 class WithdrawHandler(OperatorHandler):
-    """Withdraws a key: `{"key_hash"}`; answers 200 if durable, else 202."""
+    """Withdraws the key in the body `{"key_hash"}`; responds 200 if durable, else 202."""
 
     async def post(self) -> None:
-        """Withdraw at once, then durably."""
+        """Withdraw the key at once, then durably; responds 422 if `key_hash` is no hash."""
         try:
             key_hash = orjson.loads(self.request.body)["key_hash"]
         except (ValueError, KeyError, TypeError):
--- a/tests/components/keys/test_withdrawal.py
+++ b/tests/components/keys/test_withdrawal.py
@@ -1,4 +1,4 @@
-"""A withdrawn key stops working everywhere within seconds, whatever the store does."""
+"""Tests that a withdrawn key stops working on all VMs within seconds, with or without the store."""
 
 import asyncio
 import dataclasses
@@ -38,8 +38,8 @@
 def test_withdrawal_reaches_connected_callers_of_every_vm(count: int, store_down: bool) -> None:
     """A key is withdrawn while callers are connected to other VMs, with or without the store.
 
-    Each VM must end their running requests and refuse new ones within three seconds; the answer
-    says whether the withdrawal is durable, and it becomes so when the store is back.
+    Each VM must end running requests with that key and refuse new ones within three seconds. The result
+    says whether the withdrawal is durable; it becomes durable when the store is back.
     """
 
     async def async_test(fleet: FakeDaemons) -> None:
@@ -64,17 +64,17 @@
     run_fleet(async_test)
 
 
-def test_withdrawal_outlives_the_vm_that_took_it() -> None:
-    """The VM that took the call is lost before the store is back: the others finish it."""
+def test_withdrawal_survives_the_loss_of_its_vm() -> None:
+    """The VM that received the call is lost before the store is back; the others complete it."""
 
     async def async_test(fleet: FakeDaemons) -> None:
         daemons = await async_start_fleet(fleet, 3)
         fleet.platform.faults.down = True
-        taker = fleet.running.pop(0)
-        withdrawing = asyncio.create_task(taker.core.get(WITHDRAWALS).async_withdraw(KEY_HASH))
+        receiver = fleet.running.pop(0)
+        withdrawing = asyncio.create_task(receiver.core.get(WITHDRAWALS).async_withdraw(KEY_HASH))
         await asyncio.sleep(1)
         withdrawing.cancel()
-        await taker.async_close()
+        await receiver.async_close()
         fleet.platform.faults.down = False
         await fleet.async_wait(
             lambda: all(
@@ -97,29 +97,29 @@
     run_fleet(async_test)
 
 
-def test_cut_off_vm_refuses_rather_than_trust_old_keys() -> None:
-    """A VM sees neither the store nor its peers; meanwhile a key is withdrawn elsewhere.
+def test_isolated_vm_refuses_temporarily() -> None:
+    """A VM reaches neither the store nor its peers, while a key may be withdrawn elsewhere.
 
-    Its callers are still connected. It must refuse for the time being, so that they ask another
-    VM, and say nothing final about the key.
+    Its callers are still connected. It must refuse temporarily, so that they retry at another VM, and
+    must not report the key as invalid.
     """
 
     async def async_test(fleet: FakeDaemons) -> None:
         await async_start_fleet(fleet, 3)
         private = share_platform(fleet)
-        cut_off = await fleet.async_add(private.as_platform())
-        await fleet.async_wait(lambda: works(cut_off), 10_000)
+        isolated = await fleet.async_add(private.as_platform())
+        await fleet.async_wait(lambda: works(isolated), 10_000)
         private.faults.down = True
-        fleet.isolate(cut_off)
+        fleet.isolate(isolated)
         await asyncio.sleep(25)
-        refused = cut_off.core.get(KEYS).identify(KEY)
+        refused = isolated.core.get(KEYS).identify(KEY)
         assert isinstance(refused, Err)
         assert refused.err_value.temporary
 
     run_fleet(async_test)
 
 
-def test_vm_started_in_an_outage_knows_of_withdrawals_not_yet_durable() -> None:
+def test_vm_started_during_an_outage_receives_pending_withdrawals() -> None:
     """A key is withdrawn while the store is down, and a VM starts before the store is back."""
 
     async def async_test(fleet: FakeDaemons) -> None:
@@ -128,8 +128,8 @@
         await daemons[0].core.get(WITHDRAWALS).async_withdraw(KEY_HASH)
         listing = FakePlatform(fleet.clock)
         listing.set_vms([ListedVm(daemons[1].address, "dc1", ListedState.LIVE)])
-        half = dataclasses.replace(listing.as_platform(), table=fleet.platform)
-        newcomer = await fleet.async_add(half)
+        partial = dataclasses.replace(listing.as_platform(), table=fleet.platform)
+        newcomer = await fleet.async_add(partial)
         for _ in range(200):
             assert not works(newcomer)
             await asyncio.sleep(0.1)
@@ -138,11 +138,11 @@
     run_fleet(async_test)
 
 
-def test_a_request_identified_just_before_the_withdrawal_ends_too() -> None:
-    """A caller's long request goes on for a minute under a key that was withdrawn.
+def test_request_identified_just_before_the_withdrawal_ends_too() -> None:
+    """Guards against a long request that continues for a minute under a withdrawn key.
 
-    The VM identifies the key, the withdrawal arrives while the body is still read, and only then
-    the request begins to watch its key: nothing calls back any more.
+    The VM identifies the key, the withdrawal arrives while the body is still being read, and only then
+    the request starts to watch its key, too late for a notification.
     """
 
     async def async_test(fleet: FakeDaemons) -> None:
