--- a/goldcreststair/components/operator_rows/__init__.py
+++ b/goldcreststair/components/operator_rows/__init__.py
@@ -1,4 +1,4 @@
-"""The rows that operators write, followed once for all components that read them."""
+"""A shared feed of the rows that operators write to the store."""
 
 from goldcreststair.components.operator_rows.service import OPERATOR_ROWS, OperatorRowsService
 from goldcreststair.core import Component
@@ -6,7 +6,7 @@
 
 
 async def async_setup(core: GatewayCore) -> Component:
-    """Set up the feed."""
+    """Set up the shared feed."""
     service = OperatorRowsService(core)
     core.offer(OPERATOR_ROWS, service)
     return service
--- a/goldcreststair/components/operator_rows/service.py
+++ b/goldcreststair/components/operator_rows/service.py
@@ -1,4 +1,4 @@
-"""Follows the operators' table of the store on behalf of several listeners."""
+"""Subscribes to the operators' table of the store on behalf of several listeners."""
 
 from collections.abc import Sequence
 from typing import Final
@@ -11,39 +11,39 @@
 
 
 class OperatorRowsService:
-    """Implements `FeedListener`; a feed for each listener would multiply the calls of the store."""
+    """Implements `FeedListener`; one feed per listener would multiply the calls to the store."""
 
     def __init__(self, core: GatewayCore) -> None:
-        """Tell nobody yet."""
+        """Create the feed without listeners."""
         self._listeners: list[RowListener] = []
         self._links = core.get(FLEET_LINKS)
         table = core.adapter.catalogue_reader.row.table
         self._feed = TableFeed(core.adapter.store, core.clock, table, self, whole=True)
 
     async def async_start(self) -> None:
-        """Follow."""
+        """Start the feed."""
         await self._feed.async_start()
 
     async def async_close(self) -> None:
-        """Stop."""
+        """Stop the feed."""
         await self._feed.async_close()
 
     def add_listener(self, listener: RowListener) -> None:
-        """Tell a listener of all rows from now on; listeners are told in the order they were added."""
+        """Add a listener for rows received from now on; listeners are called in the order of addition."""
         self._listeners.append(listener)
 
     def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
-        """Take every row of the table as of a version of the store."""
+        """Pass on all rows of the table as of a version of the store."""
         for listener in self._listeners:
             listener.take_all(rows, version)
 
     def take_changes(self, rows: Sequence[StoredRow]) -> None:
-        """Take rows that changed, in order."""
+        """Pass on changed rows, in order."""
         for listener in self._listeners:
             listener.take_changes(rows)
 
     def note_contact(self, *, reached: bool) -> None:
-        """Note whether the store answered."""
+        """Record whether the store answered."""
         if reached:
             self._links.note_store()
 
