--- a/goldcreststair/upstreams/__init__.py
+++ b/goldcreststair/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""The protocols of engines and plain services, and their HTTP adapters."""
+"""Protocols of engines and plain services, and their HTTP adapters."""
--- a/goldcreststair/upstreams/dialect.py
+++ b/goldcreststair/upstreams/dialect.py
@@ -1,4 +1,4 @@
-"""How a forwarded request and its answer look on the wire of an upstream."""
+"""Translation of forwarded requests and their answers to an upstream's HTTP headers."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -15,23 +15,23 @@
     method: str
     host: str
     path: str
-    """With its query, as the caller sent it."""
+    """Path and query as the caller sent them."""
     headers: Headers
-    """The caller's headers that an upstream may see; never a key."""
+    """The caller's headers that an upstream may receive; never a key."""
     body: bytes
     customer: str
-    """Whose request it is; empty for a route that asks for no key."""
+    """Name of the customer; empty for a route that needs no key."""
     upstream: str
-    """Name of the upstream that shall run it; any other one refuses."""
+    """Name of the upstream that is to run the request; any other upstream refuses it."""
     deadline_ms: int
-    """Time left, after which the upstream stops its work."""
+    """Remaining time, after which the upstream stops the run."""
     resume_after: int = 0
-    """Number of the last event received; 0 runs from the start."""
+    """Number of the last event received; 0 runs the request from the start."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLoad:
-    """What an upstream says of itself in an answer."""
+    """Load that an upstream reports in an answer."""
 
     running: int
     waiting: int
@@ -44,24 +44,24 @@
 
     status: int
     headers: Headers
-    """Those that the caller gets, unchanged."""
+    """Headers that the caller gets, unchanged."""
     not_run: bool
-    """Whether the upstream says that it did not and will not run the request."""
+    """Whether the upstream reports that it did not and will not run the request."""
     misdirected: bool
-    """Whether another upstream than the named one has the address now."""
+    """Whether the address now belongs to another upstream than the requested one."""
     load: UpstreamLoad | None
     cold_ms: int = 0
-    """How much longer the upstream bears few requests, if it says so."""
+    """For how much longer the upstream tolerates only few requests, if it reports so."""
 
 
 class UpstreamDialect(Protocol):
-    """Translates between runs and HTTP."""
+    """Translates between runs and HTTP headers."""
 
     def encode_run(self, call: RunCall) -> Mapping[str, str]:
-        """Return the headers of a run."""
+        """Return the request headers of a run."""
 
     def decode_head(self, status: int, headers: Mapping[str, str]) -> RunHead:
         """Return the head of an answer."""
 
     def is_own(self, call: RunCall, headers: Mapping[str, str]) -> bool:
-        """Return whether an answer belongs to this run and not to another request."""
+        """Return whether an answer with these headers belongs to this run and not to another request."""
--- a/goldcreststair/upstreams/errors.py
+++ b/goldcreststair/upstreams/errors.py
@@ -10,38 +10,38 @@
     """How a call failed."""
 
     CONNECT = "connect"
-    """No connection: no byte of the request left."""
+    """No connection: no byte of the request was sent."""
     REFUSED = "refused"
-    """The upstream itself said that it did not run the request."""
+    """The upstream reported that it did not run the request."""
     REJECTED = "rejected"
-    """The upstream found the request bad; another upstream would too."""
+    """The upstream found the request invalid; other upstreams would too."""
     LOST = "lost"
-    """The connection broke after the request left."""
+    """The connection broke after the request was sent, or the upstream answered with a server error."""
     SILENT = "silent"
     """No progress for too long."""
     TIMEOUT = "timeout"
-    """The call's whole time ran out."""
+    """The deadline of the call passed."""
     CROSSED = "crossed"
     """The answer carried another request's id."""
     INCOMPLETE = "incomplete"
     """The answer had no end marker."""
     FENCED = "fenced"
-    """An order's fencing number was too old."""
+    """The fencing token of an order was too old."""
     MOVED = "moved"
-    """This side ended the run, to go on with it at another upstream."""
+    """The daemon ended the run to continue it at another upstream."""
     CANCELLED = "cancelled"
-    """This side gave the call up."""
+    """The daemon cancelled the call."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamError(GoldcreststairError):
-    """A call to an upstream that did not succeed."""
+    """A failed call to an upstream."""
 
     failure: UpstreamFailure = UpstreamFailure.LOST
     status: int = 0
     """HTTP status, or 0 without one."""
     body: bytes = b""
-    """The upstream's own error answer, for `REJECTED`."""
+    """The upstream's error response, for `REJECTED`."""
 
     @property
     def not_run(self) -> bool:
--- a/goldcreststair/upstreams/http_engine.py
+++ b/goldcreststair/upstreams/http_engine.py
@@ -1,4 +1,4 @@
-"""Engines over HTTP: the OpenAI-compatible format with request ids and token indices."""
+"""HTTP client for engines: the OpenAI-compatible format with request ids and token indices."""
 
 import dataclasses
 from typing import Any, Final
@@ -34,12 +34,12 @@
 EVENT_END: Final = b"\n\n"
 EVENT_ID: Final = b"id: "
 IDLE_TIMEOUT_MS: Final = 5000
-WHOLE_IDLE_TIMEOUT_MS: Final = 15_000
-"""An answer that comes at once at its end may keep still for longer; asking again joins it."""
-WHOLE_IDLE_PARTS: Final = 8
+NON_STREAM_IDLE_TIMEOUT_MS: Final = 15_000
+"""Idle timeout of answers that are sent all at once at their end; a repeated call joins the same run."""
+NON_STREAM_IDLE_DIVISOR: Final = 8
 CONTROL_TIMEOUT_MS: Final = 2000
 ORDER_TIMEOUT_MS: Final = 60_000
-"""A load takes long; it is answered when it has ended."""
+"""Loading a model takes long, and the engine responds only when it has finished."""
 MAX_KV_STATE_BYTES: Final = 2 * 1024 * 1024
 STATUS_OK: Final = 200
 STATUS_FENCED: Final = 409
@@ -55,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ControlLimits:
-    """Bounds of a call that is no generation."""
+    """Limits of a control call, which is any call but a generation."""
 
     timeout_ms: int = CONTROL_TIMEOUT_MS
     max_bytes: int = MAX_RESPONSE_BYTES
@@ -65,22 +65,26 @@
 
 
 def convert_exchange_error(error: ExchangeError) -> UpstreamError:
-    """Turn an error of the HTTP layer into one of this layer."""
+    """Convert an error of the HTTP layer to an `UpstreamError`."""
     return UpstreamError(error.message, _FAILURES[error.failure])
 
 
-def convert_error_response(answer: HttpResponse) -> UpstreamError:
-    """Turn an answer that is no success into an error."""
-    if answer.headers.get(HEADER_NOT_RUN) == "true":
-        return UpstreamError("upstream did not run it", UpstreamFailure.REFUSED, answer.status)
-    if 400 <= answer.status < 500:
+def convert_error_response(response: HttpResponse) -> UpstreamError:
+    """Convert an unsuccessful response to an `UpstreamError`."""
+    if response.headers.get(HEADER_NOT_RUN) == "true":
+        return UpstreamError(
+            "upstream did not run the request", UpstreamFailure.REFUSED, response.status
+        )
+    if 400 <= response.status < 500:
         failure = UpstreamFailure.REJECTED
-        return UpstreamError("upstream rejected it", failure, answer.status, answer.body)
-    return UpstreamError("upstream failed", UpstreamFailure.LOST, answer.status)
+        return UpstreamError(
+            "upstream rejected the request", failure, response.status, response.body
+        )
+    return UpstreamError("upstream failed", UpstreamFailure.LOST, response.status)
 
 
 class _StreamReader:
-    """Cuts what arrives into whole events and watches for the end marker and a crossed answer."""
+    """Splits a response into complete events; detects the end marker and answers of other requests."""
 
     def __init__(self, request_id: str, resume_after: int, sink: StreamSink) -> None:
         self.last_index = resume_after
@@ -89,23 +93,24 @@
         self.crossed = False
         self._request_id = request_id
         self._sink = sink
-        self._rest = b""
+        self._buffer = b""
 
     def on_head(self, status: int, headers: HTTPHeaders) -> None:
-        # Shows as another customer's text in this stream; an answer without our id is never read.
+        # An answer without this request's id is not read: it could put another customer's text into
+        # this stream.
         if status == STATUS_OK and headers.get(HEADER_REQUEST_ID) != self._request_id:
             self.crossed = True
 
     async def async_on_data(self, data: bytes) -> None:
         if self.crossed or self.ended:
             return
-        data = self._rest + data
-        whole = data.rfind(EVENT_END) + len(EVENT_END)
-        if whole < len(EVENT_END):
-            self._rest = data
+        data = self._buffer + data
+        complete = data.rfind(EVENT_END) + len(EVENT_END)
+        if complete < len(EVENT_END):
+            self._buffer = data
             return
-        self._rest = data[whole:]
-        events = data[:whole]
+        self._buffer = data[complete:]
+        events = data[:complete]
         if events.endswith(END_MARKER):
             self.ended = True
             events = events[: -len(END_MARKER)]
@@ -122,7 +127,7 @@
 
 
 class HttpEngineClient:
-    """Calls engines over one fresh connection a call."""
+    """Calls engines over a new connection for each call."""
 
     async def async_generate(
         self, upstream: Upstream, call: GenerateCall, sink: StreamSink
@@ -136,11 +141,11 @@
             return Err(UpstreamError("answer of another request", UpstreamFailure.CROSSED))
         if isinstance(outcome, Err):
             return Err(convert_exchange_error(outcome.err_value))
-        answer = outcome.ok_value
-        if answer.status != STATUS_OK:
-            return Err(convert_error_response(answer))
+        response = outcome.ok_value
+        if response.status != STATUS_OK:
+            return Err(convert_error_response(response))
         if not call.stream:
-            return _read_whole(answer)
+            return _parse_complete_answer(response)
         if not reader.ended:
             return Err(UpstreamError("no end marker", UpstreamFailure.INCOMPLETE))
         return Ok(GenerateEnd(b"", reader.tokens, reader.last_index))
@@ -148,14 +153,14 @@
     async def async_cancel(
         self, upstream: Upstream, request_id: str
     ) -> Result[None, UpstreamError]:
-        """Stop a request; an unknown one is no error."""
+        """Stop a request; an unknown request is not an error."""
         outcome = await _async_control(upstream, "POST", f"/requests/{request_id}/cancel")
         return outcome.map(lambda _: None)
 
     async def async_read_load(self, upstream: Upstream) -> Result[LoadReport, UpstreamError]:
         """Return the engine's last load report."""
         outcome = await _async_control(upstream, "GET", "/load")
-        return outcome.map(lambda answer: _decode_load(orjson.loads(answer.body)))
+        return outcome.map(lambda response: _decode_load(orjson.loads(response.body)))
 
     async def async_read_cache_events(
         self, upstream: Upstream, after_sequence: int
@@ -163,35 +168,35 @@
         """Return prefix-cache events after a sequence number."""
         outcome = await _async_control(upstream, "GET", f"/cache_events?after={after_sequence}")
         return outcome.map(
-            lambda answer: tuple(CacheEvent(**raw) for raw in orjson.loads(answer.body))
+            lambda response: tuple(CacheEvent(**raw) for raw in orjson.loads(response.body))
         )
 
     async def async_send_order(
         self, upstream: Upstream, order: Order
     ) -> Result[None, UpstreamError]:
-        """Give an order."""
+        """Send an order; returns `FENCED` if the engine has seen a newer fencing token."""
         body = orjson.dumps(dataclasses.asdict(order))
         limits = ControlLimits(timeout_ms=ORDER_TIMEOUT_MS)
         outcome = await _async_control(upstream, "POST", "/orders", body, limits)
         if isinstance(outcome, Err) and outcome.err_value.status == STATUS_FENCED:
-            return Err(UpstreamError("old fencing number", UpstreamFailure.FENCED, STATUS_FENCED))
+            return Err(UpstreamError("old fencing token", UpstreamFailure.FENCED, STATUS_FENCED))
         return outcome.map(lambda _: None)
 
     async def async_export_kv(
         self, upstream: Upstream, request_id: str
     ) -> Result[bytes, UpstreamError]:
         """Return the KV state of a running request."""
-        # Moves run several at once: states of hundreds of megabytes would take all of a small
-        # VM's memory. An engine has to give out a reference to its state instead.
+        # Several moves run at once, and states of hundreds of megabytes would use up the memory of a
+        # small VM. An engine has to export a reference to its state instead.
         path = f"/requests/{request_id}/kv"
         limits = ControlLimits(max_bytes=MAX_KV_STATE_BYTES)
         outcome = await _async_control(upstream, "GET", path, limits=limits)
-        return outcome.map(lambda answer: answer.body)
+        return outcome.map(lambda response: response.body)
 
     async def async_import_kv(
         self, upstream: Upstream, request_id: str, state: bytes
     ) -> Result[None, UpstreamError]:
-        """Give an engine the KV state of a request."""
+        """Send the KV state of a request to an engine, to be resumed there."""
         outcome = await _async_control(upstream, "PUT", f"/requests/{request_id}/kv", state)
         return outcome.map(lambda _: None)
 
@@ -215,22 +220,22 @@
         timeout_ms=call.timeout_ms,
         headers={HEADER_REQUEST_ID: call.request_id, "Content-Type": "application/json"},
         body=body,
-        idle_timeout_ms=IDLE_TIMEOUT_MS if call.stream else _choose_whole_idle_ms(call),
+        idle_timeout_ms=IDLE_TIMEOUT_MS if call.stream else _choose_non_stream_idle_ms(call),
     )
 
 
-def _choose_whole_idle_ms(call: GenerateCall) -> int:
-    """Return how long a whole answer may keep still; a long call may for longer."""
-    return max(WHOLE_IDLE_TIMEOUT_MS, call.timeout_ms // WHOLE_IDLE_PARTS)
+def _choose_non_stream_idle_ms(call: GenerateCall) -> int:
+    """Return the idle timeout of a non-streamed answer, which grows with the timeout of the call."""
+    return max(NON_STREAM_IDLE_TIMEOUT_MS, call.timeout_ms // NON_STREAM_IDLE_DIVISOR)
 
 
-def _read_whole(answer: HttpResponse) -> Result[GenerateEnd, UpstreamError]:
+def _parse_complete_answer(response: HttpResponse) -> Result[GenerateEnd, UpstreamError]:
     try:
-        parsed: dict[str, Any] = orjson.loads(answer.body)
+        parsed: dict[str, Any] = orjson.loads(response.body)
         tokens = int(parsed["usage"]["completion_tokens"])
     except (ValueError, KeyError, TypeError):
-        return Err(UpstreamError("answer is not whole", UpstreamFailure.INCOMPLETE))
-    return Ok(GenerateEnd(answer.body, tokens, tokens - 1))
+        return Err(UpstreamError("answer is incomplete", UpstreamFailure.INCOMPLETE))
+    return Ok(GenerateEnd(response.body, tokens, tokens - 1))
 
 
 def _decode_load(raw: dict[str, Any]) -> LoadReport:
--- a/goldcreststair/upstreams/http_service.py
+++ b/goldcreststair/upstreams/http_service.py
@@ -14,12 +14,12 @@
 
 
 class HttpServiceClient:
-    """Calls plain services over one fresh connection a call."""
+    """Calls plain services over a new connection for each call."""
 
     async def async_call(
         self, upstream: Upstream, call: ServiceCall
     ) -> Result[ServiceResponse, UpstreamError]:
-        """Make one call and return the whole answer, whatever its status."""
+        """Make one call and return the complete response, whatever its status."""
         exchange = Exchange(
             address=upstream.address,
             method=call.method,
@@ -31,11 +31,11 @@
         outcome = await async_exchange(exchange)
         if isinstance(outcome, Err):
             return Err(convert_exchange_error(outcome.err_value))
-        answer = outcome.ok_value
-        if answer.headers.get(HEADER_NOT_RUN) == "true":
-            return Err(convert_error_response(answer))
-        echoed = answer.headers.get(HEADER_REQUEST_ID, call.request_id)
+        response = outcome.ok_value
+        if response.headers.get(HEADER_NOT_RUN) == "true":
+            return Err(convert_error_response(response))
+        echoed = response.headers.get(HEADER_REQUEST_ID, call.request_id)
         if echoed != call.request_id:
             return Err(UpstreamError("answer of another request", UpstreamFailure.CROSSED))
-        content_type = answer.headers.get("Content-Type", "application/octet-stream")
-        return Ok(ServiceResponse(answer.status, answer.body, content_type))
+        content_type = response.headers.get("Content-Type", "application/octet-stream")
+        return Ok(ServiceResponse(response.status, response.body, content_type))
--- a/goldcreststair/upstreams/models.py
+++ b/goldcreststair/upstreams/models.py
@@ -1,4 +1,4 @@
-"""Calls to upstreams and what they answer."""
+"""Calls to upstreams and their results."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 
 
 class UpstreamKind(StrEnum):
-    """What runs behind an upstream's address."""
+    """Kind of server behind an upstream's address."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Upstream:
-    """One engine or plain service, as the configuration names it."""
+    """One engine or plain service, as configured."""
 
     name: str
     address: str
@@ -22,19 +22,19 @@
     data_centre: str
     kind: UpstreamKind = UpstreamKind.ENGINE
     models: tuple[str, ...] = ()
-    """Models an engine shall serve."""
+    """Models that an engine is to serve."""
     service: str = ""
-    """The service that a plain upstream serves."""
+    """Name of the service that a plain upstream serves."""
     checks_fencing: bool = True
-    """Whether the engine refuses an order with an old fencing number."""
+    """Whether the engine refuses an order with an old fencing token."""
     adapters: tuple[str, ...] = ()
-    """Adapters an engine shall serve, each as `MODEL:ADAPTER`; requests name them so as well."""
+    """Adapters that an engine is to serve, each as `MODEL:ADAPTER`, the form used in requests as well."""
     role: str = ""
-    """Role an engine shall have; empty wants no particular one."""
+    """Desired role of an engine; empty for no particular one."""
 
     @property
     def served_names(self) -> tuple[str, ...]:
-        """What a request's `model` may name to run here: models and adapters."""
+        """Values of a request's `model` field that this upstream serves: models and adapters."""
         return self.models + self.adapters
 
 
@@ -46,31 +46,31 @@
     path: str
     """`/v1/chat/completions` or `/v1/completions`."""
     body: bytes
-    """The caller's JSON, without anything that names the customer or the key."""
+    """The caller's JSON, without anything that identifies the customer or the key."""
     stream: bool
-    """Whether tokens come one by one; else the whole JSON answer at once."""
+    """Whether tokens are streamed; otherwise the complete JSON answer is sent at once."""
     timeout_ms: int
     resume_after: int = -1
-    """Index of the last token already received; -1 starts anew."""
+    """Index of the last token already received; -1 runs from the start."""
     prior: str = ""
-    """Text of the tokens up to `resume_after`, for an engine that never saw the request."""
+    """Text of the tokens up to `resume_after`, for an engine that has not run the request before."""
 
 
 @dataclass(frozen=True, slots=True)
 class GenerateEnd:
-    """How a call ended well: its end marker was seen and its request id matched."""
+    """Result of a successful call: its end marker was received and its request id matched."""
 
     body: bytes
-    """The whole JSON answer when not streamed, else empty."""
+    """The complete JSON answer if not streamed, else empty."""
     tokens: int
-    """Tokens of the answer that this call delivered."""
+    """Number of tokens that this call delivered."""
     last_index: int
-    """Index of the last token of the whole answer."""
+    """Index of the last token of the complete answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamChunk:
-    """Whole server-sent events, as many as arrived together."""
+    """Complete server-sent events that arrived together."""
 
     data: bytes
     tokens: int
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceResponse:
-    """A plain service's whole answer."""
+    """The complete HTTP response of a plain service."""
 
     status: int
     body: bytes
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an engine says of itself; old by the time it is read."""
+    """State that an engine reports; it is already outdated when it is read."""
 
     sequence: int
     running: int
@@ -112,11 +112,11 @@
     models: tuple[str, ...]
     role: str = "mixed"
     fencing: int = 0
-    """Highest fencing number the engine has seen."""
+    """Highest fencing token that the engine has seen."""
     adapters: tuple[str, ...] = ()
-    """Adapters loaded, each as `MODEL:ADAPTER`."""
+    """Loaded adapters, each as `MODEL:ADAPTER`."""
     versions: Mapping[str, str] = field(default_factory=dict)
-    """Model to the version loaded."""
+    """Loaded version of each model."""
     in_use: tuple[str, ...] = ()
     """Models and adapters that running or waiting requests use."""
 
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """One wanted state of an engine."""
+    """An order to change the state of an engine."""
 
     order_id: str
     fencing: int
--- a/goldcreststair/upstreams/protocols.py
+++ b/goldcreststair/upstreams/protocols.py
@@ -1,4 +1,4 @@
-"""What is asked of upstreams; HTTP adapters and in-process fakes implement these."""
+"""Interfaces of the upstream clients, implemented by the HTTP adapters and by in-process fakes."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -20,14 +20,14 @@
 
 
 class StreamSink(Protocol):
-    """Takes the chunks of one streamed answer in order."""
+    """Receives the chunks of one streamed answer in order."""
 
     async def async_accept(self, chunk: StreamChunk) -> None:
-        """Take one chunk; returns when the next may come (backpressure)."""
+        """Process one chunk; returns when the next one may be sent (backpressure)."""
 
 
 class EngineClient(Protocol):
-    """Calls to engines."""
+    """Client for engines."""
 
     async def async_generate(
         self, upstream: Upstream, call: GenerateCall, sink: StreamSink
@@ -37,7 +37,7 @@
     async def async_cancel(
         self, upstream: Upstream, request_id: str
     ) -> Result[None, UpstreamError]:
-        """Stop a request; an unknown one is no error."""
+        """Stop a request; an unknown request is not an error."""
 
     async def async_read_load(self, upstream: Upstream) -> Result[LoadReport, UpstreamError]:
         """Return the engine's last load report."""
@@ -45,12 +45,12 @@
     async def async_read_cache_events(
         self, upstream: Upstream, after_sequence: int
     ) -> Result[tuple[CacheEvent, ...], UpstreamError]:
-        """Return prefix-cache events after a sequence number; late and with gaps."""
+        """Return prefix-cache events after a sequence number; they may be late and have gaps."""
 
     async def async_send_order(
         self, upstream: Upstream, order: Order
     ) -> Result[None, UpstreamError]:
-        """Give an order; `FENCED` if the engine has seen a newer fencing number."""
+        """Send an order; returns `FENCED` if the engine has seen a newer fencing token."""
 
     async def async_export_kv(
         self, upstream: Upstream, request_id: str
@@ -60,16 +60,16 @@
     async def async_import_kv(
         self, upstream: Upstream, request_id: str, state: bytes
     ) -> Result[None, UpstreamError]:
-        """Give an engine the KV state of a request, to be resumed there."""
+        """Send the KV state of a request to an engine, to be resumed there."""
 
 
 class ServiceClient(Protocol):
-    """Calls to plain services."""
+    """Client for plain services."""
 
     async def async_call(
         self, upstream: Upstream, call: ServiceCall
     ) -> Result[ServiceResponse, UpstreamError]:
-        """Make one call and return the whole answer."""
+        """Make one call and return the complete response."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/goldcreststair/upstreams/runner.py
+++ b/goldcreststair/upstreams/runner.py
@@ -1,4 +1,4 @@
-"""Runs a request at one upstream over kept connections and sorts what can go wrong."""
+"""Runs a request at one upstream over persistent connections and classifies failures."""
 
 from collections.abc import Awaitable
 from dataclasses import dataclass
@@ -14,8 +14,8 @@
 from goldcreststair.upstreams.errors import UpstreamError, UpstreamFailure
 
 CONNECT_TIMEOUT_MS: Final = 300
-"""A healthy upstream accepts within a few ms, even in another data centre; a lost packet on the
-way is sent again only after a second, and another upstream is then the quicker way."""
+"""A healthy upstream accepts within a few ms, even in another data centre. A lost packet is
+retransmitted only after a second, so another upstream is faster by then."""
 STATUS_OK: Final = 200
 
 _FAILURES: Final = {
@@ -28,51 +28,51 @@
 
 
 class RunSink(Protocol):
-    """Takes an answer while it arrives."""
+    """Receives an answer while it arrives."""
 
     streams: bool
-    """Whether the body of a success is taken piece by piece, and not whole at the end."""
+    """Whether the body of a success is passed to `on_data` in chunks, not as a whole at the end."""
 
     def on_head(self, head: RunHead) -> None:
-        """Take the head of an answer that is this run's own."""
+        """Handle the head of the answer to this run."""
 
     def on_data(self, chunk: bytes) -> Awaitable[None] | None:
-        """Take a piece of the body of a success."""
+        """Handle a chunk of the body of a success; reading pauses until the awaitable completes."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunEnd:
-    """An answer that is whole; the body of a success went to the sink."""
+    """A complete answer; `body` is empty where the body was passed to the sink."""
 
     head: RunHead
     body: bytes
 
 
 class Connections(Protocol):
-    """The connections that are kept to upstreams."""
+    """The pool of persistent connections to upstreams."""
 
     def count_open(self, address: str) -> int:
-        """Return the open connections to an address, idle and in use."""
+        """Return the number of open connections to an address, idle and in use."""
 
     def has_idle(self, address: str) -> bool:
-        """Return whether the next request to an address needs no new connection."""
+        """Return whether an idle connection to an address is available."""
 
     def close_idle(self, address: str) -> None:
-        """Close the idle connections to an address, as its server is gone or suspect."""
+        """Close the idle connections to an address, for a server that is down or suspected."""
 
     async def async_warm(self, address: str, connect_timeout_ms: int) -> bool:
-        """Open one more connection for later use; returns whether it opened."""
+        """Open another connection for later use; returns whether this succeeded."""
 
     def close(self) -> None:
         """Close all idle connections."""
 
 
 class Runner(Protocol):
-    """The only way by which requests reach upstreams."""
+    """Runs requests at upstreams; the only path by which requests reach them."""
 
     @property
     def pool(self) -> Connections:
-        """The connections kept."""
+        """The persistent connections."""
 
     async def async_run(
         self, address: str, call: RunCall, sink: RunSink
@@ -84,7 +84,7 @@
     """Implements `Runner` over HTTP."""
 
     def __init__(self, pool: ConnectionPool, dialect: UpstreamDialect) -> None:
-        """Use a pool shared by all upstreams."""
+        """Initialise with a connection pool shared by all upstreams."""
         self.pool = pool
         self._dialect = dialect
 
@@ -111,16 +111,16 @@
         )
         on_data = sink.on_data if sink.streams else None
         hooks = ResponseHooks(on_head, on_data, lambda found: dialect.is_own(call, found))
-        answered = await self.pool.async_exchange(exchange, hooks)
-        if isinstance(answered, Err):
-            return Err(_turn_error(answered.err_value))
+        outcome = await self.pool.async_exchange(exchange, hooks)
+        if isinstance(outcome, Err):
+            return Err(_convert_error(outcome.err_value))
         if head is None:
-            return Err(UpstreamError("answer without a head", UpstreamFailure.LOST))
+            return Err(UpstreamError("answer has no head", UpstreamFailure.LOST))
         if head.misdirected or head.not_run:
-            message = "another upstream has the address" if head.misdirected else "not run"
+            message = "the address belongs to another upstream" if head.misdirected else "not run"
             return Err(UpstreamError(message, UpstreamFailure.REFUSED, head.status))
-        return Ok(RunEnd(head, answered.ok_value.body))
+        return Ok(RunEnd(head, outcome.ok_value.body))
 
 
-def _turn_error(error: ExchangeError) -> UpstreamError:
+def _convert_error(error: ExchangeError) -> UpstreamError:
     return UpstreamError(error.message, _FAILURES[error.failure])
--- a/tests/upstreams/__init__.py
+++ b/tests/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the adapters of upstreams."""
+"""Tests of the upstream adapters."""
--- a/tests/upstreams/test_http_engine.py
+++ b/tests/upstreams/test_http_engine.py
@@ -1,4 +1,4 @@
-"""The engines' HTTP adapter on a real connection."""
+"""Tests of the HTTP client for engines over a real connection."""
 
 import asyncio
 
@@ -27,12 +27,12 @@
 
 
 @pytest.mark.parametrize(
-    ("size", "taken"), [(MAX_KV_STATE_BYTES, True), (MAX_KV_STATE_BYTES + 1, False)]
+    ("size", "accepted"), [(MAX_KV_STATE_BYTES, True), (MAX_KV_STATE_BYTES + 1, False)]
 )
-def test_huge_kv_state_is_not_taken_into_memory(size: int, taken: bool) -> None:
-    """An engine gives out a stream's KV state itself, hundreds of megabytes of it.
+def test_huge_kv_state_is_not_read_into_memory(size: int, accepted: bool) -> None:
+    """Guards against an engine that exports hundreds of megabytes of KV state.
 
-    Several moves at once would take all memory of a small VM, and every request of it with them.
+    Several moves at once would use up the memory of a small VM and end all its requests.
     """
 
     async def async_test() -> None:
@@ -41,7 +41,7 @@
         server.add_socket(socket)
         upstream = Upstream("e1", f"127.0.0.1:{port}", "dc1")
         exported = await HttpEngineClient().async_export_kv(upstream, "r1")
-        assert isinstance(exported, Ok) is taken
+        assert isinstance(exported, Ok) is accepted
         server.stop()
         await server.close_all_connections()
 
@@ -54,11 +54,11 @@
         self.finish(b"null")
 
 
-def test_load_that_takes_long_is_waited_for() -> None:
-    """A model takes longer to load than other calls may take.
+def test_slow_model_load_is_awaited() -> None:
+    """Guards against a timeout while a model loads, which takes longer than other calls may.
 
-    Given up early, the load would be ordered again while it runs, and paid for at the weight
-    store's rate each time, so that other engines wait for theirs.
+    The load would be ordered again while it still runs. Each load takes bandwidth of the weight store, so
+    other engines would wait for their weights.
     """
 
     async def async_test() -> None:
@@ -88,7 +88,7 @@
 
 
 def test_slow_caller_is_not_taken_for_a_silent_engine(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A run is ended for its silence while the daemon itself keeps its next bytes waiting."""
+    """Guards against ending a run for silence while the daemon itself delays reading the next bytes."""
     monkeypatch.setattr(http_engine, "IDLE_TIMEOUT_MS", 100)
 
     async def async_test() -> None:
