--- a/goldcreststair/upstreams/http_service.py
+++ b/goldcreststair/upstreams/http_service.py
@@ -5,17 +5,21 @@
 from goldcreststair.const import HEADER_REQUEST_ID
 from goldcreststair.http_exchange import Exchange, async_exchange
 from goldcreststair.upstreams.errors import UpstreamError, UpstreamFailure
-from goldcreststair.upstreams.http_engine import HEADER_NOT_RUN, turn_exchange_error, turn_status
-from goldcreststair.upstreams.models import ServiceAnswer, ServiceCall, Upstream
+from goldcreststair.upstreams.http_engine import (
+    HEADER_NOT_RUN,
+    convert_error_response,
+    convert_exchange_error,
+)
+from goldcreststair.upstreams.models import ServiceCall, ServiceResponse, Upstream
 
 
 class HttpServiceClient:
-    """Calls plain services over one fresh connection a call."""
+    """Calls plain services over a new connection for each call."""
 
     async def async_call(
         self, upstream: Upstream, call: ServiceCall
-    ) -> Result[ServiceAnswer, UpstreamError]:
-        """Make one call and return the whole answer, whatever its status."""
+    ) -> Result[ServiceResponse, UpstreamError]:
+        """Make one call and return the complete response, whatever its status."""
         exchange = Exchange(
             address=upstream.address,
             method=call.method,
@@ -26,12 +30,12 @@
         )
         outcome = await async_exchange(exchange)
         if isinstance(outcome, Err):
-            return Err(turn_exchange_error(outcome.err_value))
-        answer = outcome.ok_value
-        if answer.headers.get(HEADER_NOT_RUN) == "true":
-            return Err(turn_status(answer))
-        echoed = answer.headers.get(HEADER_REQUEST_ID, call.request_id)
+            return Err(convert_exchange_error(outcome.err_value))
+        response = outcome.ok_value
+        if response.headers.get(HEADER_NOT_RUN) == "true":
+            return Err(convert_error_response(response))
+        echoed = response.headers.get(HEADER_REQUEST_ID, call.request_id)
         if echoed != call.request_id:
             return Err(UpstreamError("answer of another request", UpstreamFailure.CROSSED))
-        content_type = answer.headers.get("Content-Type", "application/octet-stream")
-        return Ok(ServiceAnswer(answer.status, answer.body, content_type))
+        content_type = response.headers.get("Content-Type", "application/octet-stream")
+        return Ok(ServiceResponse(response.status, response.body, content_type))
