--- a/goldcreststair/components/forwarding/request.py
+++ b/goldcreststair/components/forwarding/request.py
@@ -193,7 +193,7 @@
         if isinstance(end, Ok) and not placement.wait_ms and self._relay.first_event_at:
             first_ms = self._relay.first_event_at - began_at
             service = self._admitted.service
-            self._placement.controller.note_run(service, first_ms, self._clock.now() - began_at)
+            self._placement.controller.record_run(service, first_ms, self._clock.now() - began_at)
         return end
 
     async def _async_follow(
@@ -256,13 +256,13 @@
         else:
             progress.ran.add(entry.name)
         if error.failure in (UpstreamFailure.CONNECT, UpstreamFailure.SILENT):
-            self._placement.note_down(entry, error.message, self._request.request_id)
+            self._placement.mark_down(entry, error.message, self._request.request_id)
         elif error.failure is UpstreamFailure.LOST and not error.status:
             begun = self._relay.run_events > 0
             marks = self._core.get(CRASH_MARKS)
             marks.report_lost(entry, self._admitted.fingerprint, begun=begun)
         elif error.failure is UpstreamFailure.REFUSED:
-            self._placement.controller.note_full(entry.name)
+            self._placement.controller.mark_full(entry.name)
 
     def _end_answered(self, end: RunEnd) -> None:
         if end.head.status != STATUS_OK or self._route.kind is not CallKind.STREAMING:
@@ -301,10 +301,10 @@
         return self._admitted.ends_at - self._clock.now()
 
     def _on_head(self, head: RunHead) -> None:
-        self._placement.note_head(self._at, head)
+        self._placement.record_head(self._at, head)
 
     def _on_data(self) -> None:
-        self._placement.controller.note_progress(self._at)
+        self._placement.controller.record_progress(self._at)
 
     def _log(self, event: str, reason: str, **seen: object) -> None:
         _LOGGER.info(
--- a/goldcreststair/components/jobs/execution.py
+++ b/goldcreststair/components/jobs/execution.py
@@ -245,8 +245,8 @@
         sink = run.sink = ItemSink(
             run.item,
             self._clock,
-            lambda head: self._placement.note_head(name, head),
-            lambda: controller.note_progress(name),
+            lambda head: self._placement.record_head(name, head),
+            lambda: controller.record_progress(name),
         )
         call = self._make_call(run.job, run.item, run.upstream)
         run.task = asyncio.create_task(
@@ -325,13 +325,13 @@
             return
         error = end.err_value
         if error.failure in (UpstreamFailure.CONNECT, UpstreamFailure.SILENT):
-            self._placement.note_down(run.upstream, error.message, run.item.item.item)
+            self._placement.mark_down(run.upstream, error.message, run.item.item.item)
         elif error.failure is UpstreamFailure.LOST:
             mark = _mark_item(run.job, run.item)
             begun = run.item.last_event > run.first_event
             self._core.get(CRASH_MARKS).report_lost(run.upstream, mark, begun=begun)
         elif error.failure is UpstreamFailure.REFUSED:
-            self._placement.controller.note_full(run.upstream.name)
+            self._placement.controller.mark_full(run.upstream.name)
 
     def _finish(
         self, job: OwnedJob, item: ItemProgress, result: ItemResult, reason: str, upstream: str = ""
@@ -347,7 +347,7 @@
         for run in choose_yielding(there, count, self._clock.now(), self._estimate.read_left_ms):
             self._stop_run(run)
             self._log(run.job, run.item, "yielded", "online work needs the slot", upstream)
-        self._placement.controller.note_yielded(upstream)
+        self._placement.controller.mark_preempted(upstream)
 
     def _log(
         self, job: OwnedJob, item: ItemProgress, choice: str, reason: str, upstream: str
--- a/goldcreststair/components/placement/cold.py
+++ b/goldcreststair/components/placement/cold.py
@@ -75,7 +75,7 @@
         horizon = self._clock.now() - share.window_ms
         return sent is None or sum(at > horizon for at in sent) < share.requests
 
-    def note_sent(self, upstream: str) -> None:
+    def record_sent(self, upstream: str) -> None:
         """Count a request that goes to a cold upstream."""
         sent = self._sent.setdefault(upstream, deque())
         sent.append(self._clock.now())
--- a/goldcreststair/components/placement/controller.py
+++ b/goldcreststair/components/placement/controller.py
@@ -317,7 +317,7 @@
         chances = late or {daemon: runs.batch for daemon, runs in held.items()}
         return draw(list(chances.items()), self._random)
 
-    def note_yielded(self, name: str) -> None:
+    def mark_preempted(self, name: str) -> None:
         """Take no more slots for batch at an upstream for a while."""
         state = self._states.get(name)
         if state is not None:
@@ -328,7 +328,7 @@
         self.runs.add(hash_name(name), runs)
         state = self._states.get(name)
         if state is not None and self._is_cold(state):
-            self.cold.note_sent(name)
+            self.cold.record_sent(name)
         else:
             self.cold.forget(name)
 
@@ -336,14 +336,14 @@
         """Count runs as ended."""
         self.runs.add(hash_name(name), Runs(-runs.online, -runs.batch, -runs.late))
 
-    def note_progress(self, name: str) -> None:
+    def record_progress(self, name: str) -> None:
         """Note that an upstream sent something."""
         state = self._states.get(name)
         if state is not None:
             state.progress_at = self._clock.now()
             state.down_until = Millis(0)
 
-    def note_cold(self, name: str, cold_ms: int) -> bool:
+    def mark_cold(self, name: str, cold_ms: int) -> bool:
         """Take an upstream's word in an answer that it is cold; returns whether that is news."""
         state = self._states.get(name)
         if state is None or cold_ms <= 0:
@@ -370,25 +370,25 @@
             return False
         return self.picture is None or self.runs.read_own(hash_name(name)).total > 1
 
-    def note_down(self, name: str) -> None:
+    def mark_down(self, name: str) -> None:
         """Note that an upstream accepts no connection, or is silent."""
         state = self._states.get(name)
         if state is not None:
             state.down_until = Millis(self._clock.now() + DOWN_MS)
 
-    def note_up(self, name: str) -> None:
+    def mark_up(self, name: str) -> None:
         """Note that an upstream accepts connections."""
         state = self._states.get(name)
         if state is not None:
             state.down_until = Millis(0)
 
-    def note_full(self, name: str) -> None:
+    def mark_full(self, name: str) -> None:
         """Note that an upstream said it has no room."""
         state = self._states.get(name)
         if state is not None:
             state.shed_until = Millis(self._clock.now() + SHED_MS)
 
-    def note_doubts(self, upstreams: Iterable[int]) -> None:
+    def mark_suspected(self, upstreams: Iterable[int]) -> None:
         """Take another daemon's word that upstreams are down."""
         for key in upstreams:
             state = self._states.get(self._names.get(key, ""))
@@ -405,7 +405,7 @@
         now = self._clock.now()
         return [state.entry for state in self._states.values() if state.down_until > now]
 
-    def note_run(self, service: str, first_ms: float | None, run_ms: float) -> None:
+    def record_run(self, service: str, first_ms: float | None, run_ms: float) -> None:
         """Learn from a run that found a free slot (`first_ms`) or waited for one (None)."""
         known = self.read_traits(service)
         first = known.first_ms
--- a/goldcreststair/components/placement/service.py
+++ b/goldcreststair/components/placement/service.py
@@ -97,19 +97,19 @@
         self.controller.end(name, runs)
         self._links.announce()
 
-    def note_down(self, entry: UpstreamEntry, reason: str, subject: str) -> None:
+    def mark_down(self, entry: UpstreamEntry, reason: str, subject: str) -> None:
         """Take it that an upstream accepts no connection, or is silent; `subject` met it so."""
         if not self.controller.is_down(entry.name):
             extra = {"upstream": entry.name, "address": entry.address, "met_by": subject}
             _LOGGER.warning("Upstream down", extra=extra | {"reason": reason})
-        self.controller.note_down(entry.name)
+        self.controller.mark_down(entry.name)
         self._core.runner.pool.forget(entry.address)
         self._links.announce()
 
-    def note_head(self, name: str, head: RunHead) -> None:
+    def record_head(self, name: str, head: RunHead) -> None:
         """Take what the head of an answer says of its upstream."""
-        self.controller.note_progress(name)
-        if self.controller.note_cold(name, head.cold_ms):
+        self.controller.record_progress(name)
+        if self.controller.mark_cold(name, head.cold_ms):
             extra = {"upstream": name, "cold_ms": head.cold_ms}
             _LOGGER.info("Upstream cold by its answer", extra=extra)
 
@@ -159,7 +159,7 @@
             self.controller.runs.take_holders(None)
         else:
             self.controller.picture = beacon.sequence
-        self.controller.note_doubts(beacon.suspects or ())
+        self.controller.mark_suspected(beacon.suspects or ())
         for name in self.controller.list_names(runs):
             self._give_way(name)
 
@@ -204,7 +204,7 @@
         pool = self._core.runner.pool
         if await pool.async_warm(entry.address, CONNECT_TIMEOUT_MS):
             _LOGGER.info("Upstream up", extra={"upstream": entry.name, "address": entry.address})
-            self.controller.note_up(entry.name)
+            self.controller.mark_up(entry.name)
             self._links.announce()
 
 
--- a/tests/components/placement/test_cold.py
+++ b/tests/components/placement/test_cold.py
@@ -93,7 +93,7 @@
 
 def test_an_answer_tells_that_an_upstream_has_turned_cold() -> None:
     controller = make_controller(ManualClock(), ())
-    assert controller.note_cold("a", 2_000) and not controller.note_cold("a", 1_900)
+    assert controller.mark_cold("a", 2_000) and not controller.mark_cold("a", 1_900)
     assert [entry.name for entry in controller.list_cold()] == ["a"]
 
 
@@ -110,7 +110,7 @@
     for _ in range(10):
         for gate in gates:
             while gate.may_send("u", COLD_PER_S):
-                gate.note_sent("u")
+                gate.record_sent("u")
                 sent += 1
         clock.advance(99)
     assert COLD_PER_S * 0.5 <= sent <= COLD_PER_S
--- a/tests/components/placement/test_controller.py
+++ b/tests/components/placement/test_controller.py
@@ -76,7 +76,7 @@
     assert isinstance(controller.choose(PlacementQuery("other")), Err)
 
 
-@pytest.mark.parametrize(("note", "ms"), [("note_down", DOWN_MS), ("note_full", SHED_MS)])
+@pytest.mark.parametrize(("note", "ms"), [("mark_down", DOWN_MS), ("mark_full", SHED_MS)])
 def test_an_upstream_that_failed_rests_and_comes_back(note: str, ms: int) -> None:
     clock = ManualClock()
     controller = make_controller(clock, make_entry("a"))
@@ -91,7 +91,7 @@
     clock = ManualClock()
     entries = (make_entry("a"), make_entry("b", "dc1"), make_entry("c"))
     controller = make_controller(clock, *entries, lapsed=frozenset({"c"}))
-    controller.note_doubts([hash_name("a")])
+    controller.mark_suspected([hash_name("a")])
     assert choose(controller) == "b"
     assert choose(controller, PlacementQuery("s", frozenset({"b"}))) in ("a", "c")
 
@@ -148,7 +148,7 @@
     clock = ManualClock()
     controller = make_controller(clock, make_entry("a"))
     for _ in range(200):
-        controller.note_run("s", 30.0, 1_600.0)
+        controller.record_run("s", 30.0, 1_600.0)
     controller.begin("a", Runs(online=9))
     placement = controller.choose(QUERY).unwrap()
     assert placement.wait_ms == pytest.approx(2 * 1_600 / 8, rel=0.01)
