--- a/goldcreststair/components/jobs/execution.py
+++ b/goldcreststair/components/jobs/execution.py
@@ -95,7 +95,7 @@
         self._book = book
         self._lister = lister
         self._placement = core.get(PLACEMENT)
-        self._placement.on_yield(self._give_way)
+        self._placement.on_preempt(self._give_way)
         self._runs: dict[_Run, None] = {}
         """In the order of their begin, which decides between equal ones; a set has no order."""
         self._stopped = False
--- a/goldcreststair/components/placement/const.py
+++ b/goldcreststair/components/placement/const.py
@@ -9,7 +9,7 @@
 SMOOTHING: Final = 0.1
 """Weight of one more run in both means: about the last ten count."""
 
-YIELD_MS: Final = 20.0
+PREEMPT_MS: Final = 20.0
 """Wait for a slot that batch gives up: one beacon, one closed connection and one engine step."""
 OTHER_DATA_CENTRE_MS: Final = 2.0
 """Cost of another data centre: a round trip, and bytes between data centres are paid for."""
--- a/goldcreststair/components/placement/controller.py
+++ b/goldcreststair/components/placement/controller.py
@@ -36,7 +36,7 @@
     SHED_MS,
     SMOOTHING,
     UNCACHED_MS,
-    YIELD_MS,
+    PREEMPT_MS,
 )
 from goldcreststair.components.placement.loads import RunBook, Runs
 from goldcreststair.components.placement.models import (
@@ -275,7 +275,7 @@
                 found.append((state.entry, free))
         return found
 
-    def count_yielding(self, name: str, own_session: str) -> int:
+    def count_runs_to_preempt(self, name: str, own_session: str) -> int:
         """Return how many of its batch runs this daemon shall give up at an upstream.
 
         Every daemon holds the same book, so that each finds its own part of what is too much without
@@ -298,7 +298,7 @@
         urgent, _ = _find_part([(d, held[d].urgent) for d in order], own_daemon, excess)
         return late + urgent
 
-    def choose_yielder(self, name: str) -> int | None:
+    def choose_daemon_to_preempt(self, name: str) -> int | None:
         """Return who shall give up a batch run for the online run that just began, by hash of its session.
 
         None if there is a free slot, or nobody has a batch run there. In a large fleet the word that an
@@ -446,7 +446,7 @@
         if runs.total < slots:
             return 0.0
         if runs.online < slots:
-            return YIELD_MS
+            return PREEMPT_MS
         ahead = runs.online - slots + 1
         return ahead * self.read_traits(state.entry.service).run_ms / slots
 
--- a/goldcreststair/components/placement/service.py
+++ b/goldcreststair/components/placement/service.py
@@ -34,7 +34,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 ONLINE_RUN: Final = Runs(online=1)
-OnYield = Callable[[str, int], None]
+OnPreempt = Callable[[str, int], None]
 """Takes an upstream's name and how many batch runs this daemon shall give up there."""
 
 
@@ -51,7 +51,7 @@
         self._links.watch_batch(self._on_batch)
         self._links.on_notice(DatagramKind.YIELD_NOTICE, self._on_yield_notice)
         core.on_awake.append(lambda _: self.controller.cold.void())
-        self._on_yield: OnYield = lambda name, count: None
+        self._on_yield: OnPreempt = lambda name, count: None
         self._unsubscribe: list[Callable[[], None]] = []
         self._tasks: list[asyncio.Task[None]] = []
 
@@ -81,7 +81,7 @@
         self._tasks.clear()
         self._core.runner.pool.close()
 
-    def on_yield(self, handler: OnYield) -> None:
+    def on_preempt(self, handler: OnPreempt) -> None:
         """Call when batch runs have to give way."""
         self._on_yield = handler
 
@@ -171,13 +171,13 @@
         self.controller.runs.take_holders(holders)
 
     def _give_way(self, name: str) -> bool:
-        count = self.controller.count_yielding(name, self._core.session_id)
+        count = self.controller.count_runs_to_preempt(name, self._core.session_id)
         if count:
             self._on_yield(name, count)
         return bool(count)
 
     def _ask_to_yield(self, name: str) -> None:
-        daemon = self.controller.choose_yielder(name)
+        daemon = self.controller.choose_daemon_to_preempt(name)
         if daemon is not None:
             notice = encode_struct(YieldNotice(hash_name(name)))
             self._links.notify_daemon(daemon, DatagramKind.YIELD_NOTICE, notice)
--- a/tests/components/fleet/test_relayed_fleet.py
+++ b/tests/components/fleet/test_relayed_fleet.py
@@ -106,7 +106,7 @@
                 yielded.append(count)
                 placement.end("e0", Runs(batch=count))
 
-            placement.on_yield(give_way)
+            placement.on_preempt(give_way)
             placement.begin("e0", Runs(batch=1))
         await fleet.clock.async_sleep(NEWS_MS)
         assert not yielded
--- a/tests/components/forwarding/test_large_fleet.py
+++ b/tests/components/forwarding/test_large_fleet.py
@@ -5,7 +5,7 @@
 import pytest
 
 from goldcreststair.components.entry.service import ENTRY
-from goldcreststair.components.placement.const import YIELD_MS
+from goldcreststair.components.placement.const import PREEMPT_MS
 from goldcreststair.components.placement.service import PLACEMENT
 from standins.gateways import FakeResponder, FleetMember, GatewayFleet
 from tests.helpers.gateways import async_send, async_submit, run_fleet
@@ -90,7 +90,7 @@
             answers = await asyncio.gather(*sending)
             assert all(answer.whole for answer in answers)
             waits = [answer.event_times[0] - asked - engine.first_ms for answer in answers]
-            assert max(waits) < 2 * YIELD_MS
+            assert max(waits) < 2 * PREEMPT_MS
 
     run_fleet(scenario)
 
--- a/tests/components/placement/test_controller.py
+++ b/tests/components/placement/test_controller.py
@@ -132,7 +132,7 @@
             if other != own:
                 controller.runs.take(other, {hash_name("a"): runs})
         controller.runs.take("v4", {hash_name("a"): Runs(online=4)})
-        parts[own] = controller.count_yielding("a", own)
+        parts[own] = controller.count_runs_to_preempt("a", own)
     assert sum(parts.values()) == 3
     assert parts["v2"] >= 1
 
@@ -141,7 +141,7 @@
     clock = ManualClock()
     controller = make_controller(clock, make_entry("a"))
     controller.begin("a", Runs(online=2, batch=6))
-    assert controller.count_yielding("a", "me") == 0
+    assert controller.count_runs_to_preempt("a", "me") == 0
 
 
 def test_expected_waits_follow_what_runs_take() -> None:
