--- a/goldcreststair/components/forwarding/request.py
+++ b/goldcreststair/components/forwarding/request.py
@@ -28,7 +28,7 @@
 from goldcreststair.components.forwarding.refusals import log_refusal, refuse_for_now
 from goldcreststair.components.forwarding.relay import STATUS_OK, StreamRelay
 from goldcreststair.components.forwarding.watch import Evidence, SilenceWatch, SilenceWatcher
-from goldcreststair.components.placement.admission import CallerTime, decide_return
+from goldcreststair.components.placement.admission import TimeBudget, decide_retry_after
 from goldcreststair.components.placement.models import Placement, PlacementQuery
 from goldcreststair.components.placement.service import PLACEMENT
 from goldcreststair.components.quotas.service import QUOTAS
@@ -150,10 +150,10 @@
             error = UpstreamError(chosen.err_value.message, UpstreamFailure.CONNECT)
             return Err(refuse_after(self._progress, error, chosen.err_value.retry_after_ms))
         placement = chosen.ok_value
-        time = CallerTime(self._route.objective_ms, self._route.timeout_ms, self._left_ms())
+        time = TimeBudget(self._route.objective_ms, self._route.timeout_ms, self._left_ms())
         return_ms = None
         if not self._progress.attempts and not self._progress.excluded:
-            return_ms = decide_return(placement, time, self._core.random)
+            return_ms = decide_retry_after(placement, time, self._core.random)
         if return_ms is None:
             return Ok(placement)
         message = f"first event expected after {placement.expected_ms:.0f} ms"
@@ -205,7 +205,7 @@
         controller = self._placement.controller
         evidence = Evidence(
             lambda: controller.read_progress(entry.name),
-            lambda: controller.has_witness(entry.name),
+            lambda: controller.is_silence_conclusive(entry.name),
             lambda: self._core.runner.pool.async_warm(entry.address, CHECK_TIMEOUT_MS),
             self._may_leave_run,
         )
@@ -221,7 +221,7 @@
         if not may_leave_run(progress, self._route, self._budget, self._left_ms()):
             return False
         elsewhere = self._make_query(progress.excluded | {self._at})
-        return self._placement.controller.has_place(elsewhere)
+        return self._placement.controller.can_place(elsewhere)
 
     def _make_call(self, upstream: str) -> RunCall:
         request = self._request
--- a/goldcreststair/components/forwarding/service.py
+++ b/goldcreststair/components/forwarding/service.py
@@ -158,8 +158,8 @@
         if own.ends_at is None or ends_at <= own.ends_at:
             return True
         now = self._clock.now()
-        read_traits = self._placement.controller.read_traits
-        run_ms = max(read_traits(weighted.service).run_ms for weighted in route.services)
+        read_run_times = self._placement.controller.read_run_times
+        run_ms = max(read_run_times(weighted.service).run_ms for weighted in route.services)
         # A request sent away at once is served elsewhere; one that is cut is lost, or run twice. While
         # callers may still be led here, sent away they could come back: then the usual run counts.
         if own.named_until is None or now >= own.named_until:
--- a/goldcreststair/components/jobs/execution.py
+++ b/goldcreststair/components/jobs/execution.py
@@ -162,7 +162,7 @@
     def _has_part(self, service: str) -> bool:
         """Return whether this daemon may take one more slot by the picture that all share."""
         controller = self._placement.controller
-        picture = controller.picture
+        picture = controller.digest_sequence
         if picture is None:
             return True
         if picture != self._picture:
--- a/goldcreststair/components/placement/admission.py
+++ b/goldcreststair/components/placement/admission.py
@@ -12,7 +12,7 @@
 
 from goldcreststair.components.placement.models import Placement
 
-FRESH_SHARE: Final = 0.9
+FIRST_ATTEMPT_SHARE: Final = 0.9
 """A caller that has this share of its time left has not been sent away before: it can come back."""
 LATE_SHARE: Final = 1.0
 """A first event that is expected after this share of the objective counts as late."""
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerTime:
+class TimeBudget:
     """What one caller's request has in time."""
 
     objective_ms: int
@@ -36,12 +36,12 @@
     left_ms: int
 
 
-def decide_return(placement: Placement, time: CallerTime, chance: random.Random) -> int | None:
+def decide_retry_after(placement: Placement, time: TimeBudget, chance: random.Random) -> int | None:
     """Return after how many ms the caller shall come back, or None to place its request now."""
     if placement.wait_ms <= 0 or placement.expected_ms <= time.objective_ms * LATE_SHARE:
         return None
     # Sent away a second time it would get no answer at all, where a late one is still of use.
-    if time.left_ms < time.timeout_ms * FRESH_SHARE:
+    if time.left_ms < time.timeout_ms * FIRST_ATTEMPT_SHARE:
         return None
     wanted_ms = max(MIN_RETRY_MS, placement.wait_ms) + chance.random() * SPREAD_MS
     return int(min(wanted_ms, time.left_ms * MAX_RETRY_SHARE))
--- a/goldcreststair/components/placement/controller.py
+++ b/goldcreststair/components/placement/controller.py
@@ -33,17 +33,17 @@
     EVACUATED_RETRY_MS,
     JITTER_MS,
     OTHER_DATA_CENTRE_MS,
+    PREEMPT_MS,
     SHED_MS,
     SMOOTHING,
     UNCACHED_MS,
-    PREEMPT_MS,
 )
-from goldcreststair.components.placement.loads import RunBook, Runs
+from goldcreststair.components.placement.loads import Runs, RunTracker
 from goldcreststair.components.placement.models import (
-    NoPlace,
+    NoUpstreamAvailable,
     Placement,
     PlacementQuery,
-    UpstreamTraits,
+    RunTimes,
 )
 from goldcreststair.components.placement.spreading import Room, draw, weigh_rooms
 from goldcreststair.helpers.rendezvous import score
@@ -76,7 +76,7 @@
 
     def __init__(self, clock: Clock, chance: random.Random, data_centre: str) -> None:
         """Know no upstream."""
-        self.runs = RunBook(clock)
+        self.runs = RunTracker(clock)
         self._clock = clock
         self._random = chance
         self._data_centre = data_centre
@@ -91,8 +91,8 @@
         self._regions: Mapping[str, str] = {}
         """Region of each data centre."""
         self.cold = ColdGate(clock)
-        self._traits: dict[str, UpstreamTraits] = {}
-        self.picture: int | None = None
+        self._traits: dict[str, RunTimes] = {}
+        self.digest_sequence: int | None = None
         """Number of the digest that tells all others' runs; None where they speak for themselves."""
 
     def take_upstreams(self, live: LiveUpstreams) -> None:
@@ -150,7 +150,7 @@
         """Return the names of the upstreams among these hashes that are known here."""
         return [self._names[key] for key in keys if key in self._names]
 
-    def choose(self, query: PlacementQuery) -> Result[Placement, NoPlace]:
+    def choose(self, query: PlacementQuery) -> Result[Placement, NoUpstreamAvailable]:
         """Return where an online request had best go."""
         fitting = self._list_fitting(query)
         if not fitting:
@@ -159,30 +159,32 @@
         if not open_ones:
             until = min(max(s.down_until, s.shed_until) for s in fitting)
             wait_ms = max(MIN_RETRY_MS, until - self._clock.now())
-            return Err(NoPlace("every upstream is down or full", retry_after_ms=wait_ms))
+            return Err(
+                NoUpstreamAvailable("every upstream is down or full", retry_after_ms=wait_ms)
+            )
         open_ones = self._spare_cold(open_ones)
         if not open_ones:
             message = "every upstream is cold, and has got what it bears from here"
-            return Err(NoPlace(message, retry_after_ms=COLD_RETRY_MS))
+            return Err(NoUpstreamAvailable(message, retry_after_ms=COLD_RETRY_MS))
         favourite = self._find_favourite(open_ones, query.affinity)
-        if self.picture is not None:
+        if self.digest_sequence is not None:
             return Ok(self._place(self._draw(open_ones, favourite)))
         best = min(open_ones, key=lambda state: self._cost(state, favourite))
         return Ok(self._place(best))
 
-    def _explain_none(self, query: PlacementQuery) -> NoPlace:
+    def _explain_none(self, query: PlacementQuery) -> NoUpstreamAvailable:
         service = query.service
         others = [s for s in self._states.values() if s.entry.service == service]
         inside = [state for state in others if self._is_inside(state, query.regions)]
         if others and not inside:
             message = f"no upstream of {service} stands in a region that is allowed"
-            return NoPlace(message, retry_after_ms=EVACUATED_RETRY_MS)
+            return NoUpstreamAvailable(message, retry_after_ms=EVACUATED_RETRY_MS)
         if any(state.entry.data_centre in self._evacuated for state in inside):
             message = f"every data centre with an upstream of {service} is evacuated"
-            return NoPlace(message, retry_after_ms=EVACUATED_RETRY_MS)
-        return NoPlace(f"no upstream of {service}", known=False)
+            return NoUpstreamAvailable(message, retry_after_ms=EVACUATED_RETRY_MS)
+        return NoUpstreamAvailable(f"no upstream of {service}", known=False)
 
-    def has_place(self, query: PlacementQuery) -> bool:
+    def can_place(self, query: PlacementQuery) -> bool:
         """Return whether `choose` would find an upstream."""
         return bool(self._spare_cold(self._prefer_open(self._list_fitting(query))))
 
@@ -251,7 +253,7 @@
         free = self._list_free_for_batch(service, regions)
         if not free:
             return None
-        if self.picture is not None:
+        if self.digest_sequence is not None:
             return draw(free, self._random)
         best, _ = max(free, key=lambda each: each[1] + self._random.random())
         return best
@@ -305,7 +307,7 @@
         upstream is too full takes 200 to 300 ms to come round; the request is late by then.
         """
         state = self._states.get(name)
-        if state is None or self.picture is None:
+        if state is None or self.digest_sequence is None:
             return None
         runs, slots = self._read(state), self._count_slots(state)
         if runs.total <= slots or runs.online > slots:
@@ -361,14 +363,14 @@
         state = self._states.get(name)
         return state.progress_at if state else Millis(0)
 
-    def has_witness(self, name: str) -> bool:
+    def is_silence_conclusive(self, name: str) -> bool:
         """Return whether the silence of one run tells of the whole upstream.
 
         In a large fleet a daemon has one run at an upstream, seldom two.
         """
         if name not in self._states:
             return False
-        return self.picture is None or self.runs.read_own(hash_name(name)).total > 1
+        return self.digest_sequence is None or self.runs.read_own(hash_name(name)).total > 1
 
     def mark_down(self, name: str) -> None:
         """Note that an upstream accepts no connection, or is silent."""
@@ -407,16 +409,16 @@
 
     def record_run(self, service: str, first_ms: float | None, run_ms: float) -> None:
         """Learn from a run that found a free slot (`first_ms`) or waited for one (None)."""
-        known = self.read_traits(service)
+        known = self.read_run_times(service)
         first = known.first_ms
         if first_ms is not None:
             first += SMOOTHING * (first_ms - known.first_ms)
         run = known.run_ms + SMOOTHING * (run_ms - known.run_ms)
-        self._traits[service] = UpstreamTraits(run, first)
+        self._traits[service] = RunTimes(run, first)
 
-    def read_traits(self, service: str) -> UpstreamTraits:
+    def read_run_times(self, service: str) -> RunTimes:
         """Return what runs of a service take."""
-        return self._traits.get(service, UpstreamTraits(DEFAULT_RUN_MS, DEFAULT_FIRST_MS))
+        return self._traits.get(service, RunTimes(DEFAULT_RUN_MS, DEFAULT_FIRST_MS))
 
     def read_idle(self, service: str) -> tuple[int, int]:
         """Return the free slots and all slots of a service's upstreams that are up."""
@@ -448,7 +450,7 @@
         if runs.online < slots:
             return PREEMPT_MS
         ahead = runs.online - slots + 1
-        return ahead * self.read_traits(state.entry.service).run_ms / slots
+        return ahead * self.read_run_times(state.entry.service).run_ms / slots
 
     def _cost(self, state: _State, favourite: str) -> float:
         cost = self._wait_ms(state)
@@ -465,7 +467,7 @@
         return max(states, key=lambda state: score(affinity, state.entry.name)).entry.name
 
     def _place(self, state: _State) -> Placement:
-        traits = self.read_traits(state.entry.service)
+        traits = self.read_run_times(state.entry.service)
         runs = self._read(state).total
         return Placement(state.entry, self._wait_ms(state), traits.first_ms, runs)
 
--- a/goldcreststair/components/placement/loads.py
+++ b/goldcreststair/components/placement/loads.py
@@ -38,7 +38,7 @@
     by_upstream: Mapping[int, Runs] = field(default_factory=dict)
 
 
-class RunBook:
+class RunTracker:
     """Upstreams are named by the hash that beacons carry."""
 
     def __init__(self, clock: Clock) -> None:
--- a/goldcreststair/components/placement/models.py
+++ b/goldcreststair/components/placement/models.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoPlace(GoldcreststairError):
+class NoUpstreamAvailable(GoldcreststairError):
     """No upstream can take the request now."""
 
     known: bool = True
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UpstreamTraits:
+class RunTimes:
     """What runs at the upstreams of one service take; learned."""
 
     run_ms: float
--- a/goldcreststair/components/placement/service.py
+++ b/goldcreststair/components/placement/service.py
@@ -155,10 +155,10 @@
         }
         self.controller.runs.take(session, runs)
         if self._links.has_mesh():
-            self.controller.picture = None
+            self.controller.digest_sequence = None
             self.controller.runs.take_holders(None)
         else:
-            self.controller.picture = beacon.sequence
+            self.controller.digest_sequence = beacon.sequence
         self.controller.mark_suspected(beacon.suspects or ())
         for name in self.controller.list_names(runs):
             self._give_way(name)
--- a/standins/measure/overload_policies.py
+++ b/standins/measure/overload_policies.py
@@ -39,7 +39,7 @@
     Switch("batch stays out of bursts", controller, "BATCH_FREE_SHARE", 0.0),
     Switch("slots kept from batch", controller, "BATCH_RESERVE", 0),
     Switch("pause after giving way", controller, "BATCH_HOLD_MS", 0),
-    Switch("late callers sent away", admission, "FRESH_SHARE", 2.0),
+    Switch("late callers sent away", admission, "FIRST_ATTEMPT_SHARE", 2.0),
 )
 
 
@@ -79,7 +79,7 @@
         "choose_daemon_to_preempt",
         choose_none,
     ),
-    Switch("late callers sent away", admission, "FRESH_SHARE", 2.0),
+    Switch("late callers sent away", admission, "FIRST_ATTEMPT_SHARE", 2.0),
     Switch("leaving silent requests", watch.SilenceWatch, "_weigh", hear_no_silence),
     Switch("leaving silent items", runner, "_is_silent", find_none_silent),
 )
--- a/tests/components/jobs/test_execution.py
+++ b/tests/components/jobs/test_execution.py
@@ -148,7 +148,7 @@
         fleet.engines.events_of = {f"other/job-{n}": 1_000 for n in range(5)}
         (member,) = await fleet.async_add_many(1)
         await fleet.clock.async_sleep(1_000)
-        member.core.get(PLACEMENT).controller.picture = picture
+        member.core.get(PLACEMENT).controller.digest_sequence = picture
         assert (await async_submit(fleet, member, "other/job", 5)).accepted
         await fleet.clock.async_sleep(200)
         assert (await async_submit(fleet, member, "digest", 5)).accepted
--- a/tests/components/placement/test_controller.py
+++ b/tests/components/placement/test_controller.py
@@ -7,7 +7,7 @@
 
 from goldcreststair.components.discovery.models import LiveUpstreams, UpstreamEntry
 from goldcreststair.components.fleet.protocols import hash_name
-from goldcreststair.components.placement.admission import CallerTime, decide_return
+from goldcreststair.components.placement.admission import TimeBudget, decide_retry_after
 from goldcreststair.components.placement.const import BATCH_RESERVE, DOWN_MS, SHED_MS
 from goldcreststair.components.placement.controller import PlacementController
 from goldcreststair.components.placement.loads import Runs
@@ -172,7 +172,7 @@
     ],
 )
 def test_who_is_sent_away(wait_ms: float, left_ms: int, returns: bool) -> None:
-    time = CallerTime(objective_ms=300, timeout_ms=5_000, left_ms=left_ms)
-    return_ms = decide_return(make_placement(wait_ms), time, random.Random(1))
+    time = TimeBudget(objective_ms=300, timeout_ms=5_000, left_ms=left_ms)
+    return_ms = decide_retry_after(make_placement(wait_ms), time, random.Random(1))
     assert (return_ms is not None) == returns
     assert return_ms is None or 300 <= return_ms <= left_ms * 0.3
--- a/tests/components/placement/test_spreading.py
+++ b/tests/components/placement/test_spreading.py
@@ -32,7 +32,7 @@
         gateway.take_upstreams(LiveUpstreams({e.name: e for e in entries}, frozenset(), True))
         runs = {hash_name(f"e{n}"): Runs(online=SLOTS - free.get(n, 0)) for n in range(UPSTREAMS)}
         gateway.runs.take("relay", runs)
-        gateway.picture = 1
+        gateway.digest_sequence = 1
         gateways.append(gateway)
     return gateways
 
