--- a/goldcreststair/components/placement/__init__.py
+++ b/goldcreststair/components/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Which upstream runs a request, and which request is sent away."""
+"""Chooses the upstream for each request, and refuses requests under overload."""
 
 from goldcreststair.components.placement.service import PLACEMENT, PlacementService
 from goldcreststair.core import Component
@@ -6,7 +6,7 @@
 
 
 async def async_setup(core: GatewayCore) -> Component:
-    """Set up placement."""
+    """Set up the placement component."""
     service = PlacementService(core)
     core.offer(PLACEMENT, service)
     return service
--- a/goldcreststair/components/placement/admission.py
+++ b/goldcreststair/components/placement/admission.py
@@ -1,9 +1,10 @@
-"""Whether a request is placed or sent away when every slot is taken; no I/O.
+"""Decides whether a request is placed or refused with a retry time under overload; no I/O.
 
-Load it answers: bursts beyond what all upstreams serve. Placed regardless, requests queue at the
-upstreams first come, first served, and after a second of it every answer is late, also those that came
-after the burst. Sent away at once with a time to come back, a caller is served in time once the burst
-is over, as long as it has the time for that.
+Designed for bursts beyond the capacity of all upstreams. If all requests were placed, they would
+queue at the upstreams in order of arrival, and after a second of such a burst every answer would be
+late, including those to requests that arrive after it. A caller that is refused at once with a
+retry time is served in time once the burst is over, provided its timeout leaves enough time for a
+retry.
 """
 
 import random
@@ -13,35 +14,36 @@
 from goldcreststair.components.placement.models import Placement
 
 FIRST_ATTEMPT_SHARE: Final = 0.9
-"""A caller that has this share of its time left has not been sent away before: it can come back."""
-LATE_SHARE: Final = 1.0
-"""A first event that is expected after this share of the objective counts as late."""
+"""A request with at least this share of its timeout left is a first attempt, and can be retried."""
+LATE_OBJECTIVE_SHARE: Final = 1.0
+"""A first event that is expected later than this share of the objective counts as late."""
 MIN_RETRY_MS: Final = 300
-"""Shortest time to come back: a queue of one run per slot has moved by a third of it."""
-SPREAD_MS: Final = 900
-"""Those that were sent away together come back spread over this time, not as the next burst."""
+"""Shortest retry time: a queue of one run per slot has advanced by about a third in this time."""
+RETRY_SPREAD_MS: Final = 900
+"""Retries of requests refused together are spread over this time, to avoid a second burst."""
 MAX_RETRY_SHARE: Final = 0.3
-"""Longest time to come back, as a share of what the caller has left: beyond a third of it callers
-do not wait as they are told."""
+"""Longest retry time, as a share of the caller's remaining time: callers ignore a retry time of
+more than a third of it."""
 
 
 @dataclass(frozen=True, slots=True)
 class TimeBudget:
-    """What one caller's request has in time."""
+    """Time limits of one caller's request."""
 
     objective_ms: int
-    """Time to the first event that the caller counts as good."""
+    """Time to the first event that meets the caller's objective."""
     timeout_ms: int
-    """Time that a fresh request has."""
+    """Full timeout of the request."""
     left_ms: int
+    """Time left until that timeout."""
 
 
-def decide_retry_after(placement: Placement, time: TimeBudget, chance: random.Random) -> int | None:
-    """Return after how many ms the caller shall come back, or None to place its request now."""
-    if placement.wait_ms <= 0 or placement.expected_ms <= time.objective_ms * LATE_SHARE:
+def decide_retry_after(placement: Placement, time: TimeBudget, rng: random.Random) -> int | None:
+    """Return the ms after which the caller should retry, or None to place its request now."""
+    if placement.wait_ms <= 0 or placement.expected_ms <= time.objective_ms * LATE_OBJECTIVE_SHARE:
         return None
-    # Sent away a second time it would get no answer at all, where a late one is still of use.
+    # After a second refusal the request would time out; a late answer is better than none.
     if time.left_ms < time.timeout_ms * FIRST_ATTEMPT_SHARE:
         return None
-    wanted_ms = max(MIN_RETRY_MS, placement.wait_ms) + chance.random() * SPREAD_MS
-    return int(min(wanted_ms, time.left_ms * MAX_RETRY_SHARE))
+    retry_ms = max(MIN_RETRY_MS, placement.wait_ms) + rng.random() * RETRY_SPREAD_MS
+    return int(min(retry_ms, time.left_ms * MAX_RETRY_SHARE))
--- a/goldcreststair/components/placement/const.py
+++ b/goldcreststair/components/placement/const.py
@@ -1,58 +1,64 @@
-"""Weights and times of placement; all costs are in ms of a caller's wait."""
+"""Weights and times of placement; costs are in ms of a caller's waiting time."""
 
 from typing import Final
 
 DEFAULT_RUN_MS: Final = 800.0
-"""Time a run holds its slot, until runs have been seen."""
+"""Assumed duration of a run until runs have been measured."""
 DEFAULT_FIRST_MS: Final = 60.0
-"""Time to the first event where a slot is free, until runs have been seen."""
+"""Assumed time to the first event at a free slot until runs have been measured."""
 SMOOTHING: Final = 0.1
-"""Weight of one more run in both means: about the last ten count."""
+"""Weight of a new run in the moving averages of both times: about the last ten runs count."""
 
 PREEMPT_MS: Final = 20.0
-"""Wait for a slot that batch gives up: one beacon, one closed connection and one engine step."""
+"""Wait for a slot freed by preempting a batch run: one beacon, one closed connection, one engine
+step."""
 OTHER_DATA_CENTRE_MS: Final = 2.0
-"""Cost of another data centre: a round trip, and bytes between data centres are paid for."""
+"""Cost of an upstream in another data centre: a round trip, and traffic between data centres is
+charged."""
 BUSY_MS: Final = 6.0
-"""Cost of a full upstream against an empty one, by share of slots taken: with free slots they are
-equally quick, but a full one is sooner overrun by requests that other VMs place meanwhile."""
+"""Cost of a full upstream relative to an empty one, scaled by the share of slots in use. Upstreams
+with free slots are equally fast, but one that is nearly full is sooner overloaded by requests that
+other VMs place at the same time."""
 UNCACHED_MS: Final = 3.0
-"""Cost of an upstream that is unlikely to cache the prompt's beginning: about 200 tokens read."""
+"""Cost of an upstream that is unlikely to have the prompt prefix cached: prefill of about 200
+tokens."""
 JITTER_MS: Final = 1.0
-"""Keeps VMs that know the same from choosing the same upstream at the same moment."""
+"""Keeps VMs with the same view from choosing the same upstream at the same moment."""
 
 DOWN_MS: Final = 3_000
-"""An upstream that did not accept a connection gets no work for so long, unless one opens."""
+"""How long an upstream that refused a connection gets no work, unless a connection succeeds
+before."""
 PROBE_MS: Final = 400
-"""Pause between connections tried to an upstream that is down."""
-SHED_MS: Final = 150
-"""An upstream that was full gets no work for so long: about one run ends there meanwhile."""
-DOUBT_MS: Final = 1_000
-"""Word of another VM that an upstream is down counts for so long."""
+"""Interval between connection attempts to an upstream that is down."""
+FULL_MS: Final = 150
+"""How long an upstream that was full gets no work: about one run ends there in this time."""
+SUSPECT_MS: Final = 1_000
+"""How long another VM's report that an upstream is down is honoured."""
 
-HOLDER_REQUESTS: Final = 2
-"""Requests a second that each daemon named for a cold upstream may send it, where there are enough daemons: two
-more daemons that name themselves by an old list stay within what the upstream bears."""
+REQUESTS_PER_SENDER: Final = 2
+"""Requests per second that each sender may send to a cold upstream, if there are enough daemons.
+With this rate, two additional daemons that select themselves from an outdated list stay within what
+the upstream tolerates."""
 COLD_SETTLE_MS: Final = 2_000
-"""A daemon that has just started, or stood still, sends nothing to cold upstreams for so long."""
+"""How long a daemon sends nothing to cold upstreams after its start or a pause of its process."""
 COLD_RETRY_MS: Final = 300
-"""When to come back while only cold upstreams are left that others are named for."""
+"""Retry time while only cold upstreams are left to which this daemon may send no more requests."""
 EVACUATED_RETRY_MS: Final = 1_500
-"""When to come back while every upstream of a service is evacuated: that lasts seconds at least."""
+"""Retry time while all upstreams of a service are evacuated, which lasts at least some seconds."""
 
 BATCH_RESERVE: Final = 1
-"""Slots of each upstream that batch leaves free, so that an online request finds one at once."""
+"""Slots of each upstream that batch leaves free, so that online requests find a free slot."""
 BATCH_FREE_SHARE: Final = 0.15
-"""Batch starts nothing while less than this share of a service's slots is free: in a burst the few
-slots that come free are taken by the next requests, and each run that gives way at once has read
-its prompt for nothing."""
+"""Batch starts no runs while less than this share of a service's slots is free. In a burst the few
+slots that become free are needed by the next online requests, and a batch run that is preempted at
+once has wasted its prefill."""
 BATCH_HOLD_MS: Final = 250
-"""After batch gave up a slot at an upstream, none is taken there for so long: a burst goes on, and
-each run that is taken up again reads its prompt and its output anew."""
+"""How long batch starts no run at an upstream after a preemption there. The burst is probably not
+over, and each resumed run has to prefill its prompt and its previous output again."""
 DEFAULT_SLOTS: Final = 64
-"""For upstreams that name none, such as plain services."""
+"""Slots of upstreams that declare none, such as plain services."""
 CONNECTION_SHARE: Final = 0.9
-"""Part of an upstream's connections that the daemons use together; the rest is for probes and for
-daemons that just started."""
+"""Share of an upstream's connections that all daemons together use; the rest is left for probes and
+for daemons that have just started."""
 MIN_CONNECTIONS: Final = 2
-"""Connections that a daemon may open to an upstream, however many daemons there are."""
+"""Connections to an upstream that each daemon may open regardless of the number of daemons."""
--- a/goldcreststair/components/placement/loads.py
+++ b/goldcreststair/components/placement/loads.py
@@ -1,4 +1,4 @@
-"""Runs at each upstream: this daemon's own, exact, and the others' from their beacons; no I/O."""
+"""Counts the runs at each upstream, this daemon's own and those of other daemons; no I/O."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -16,16 +16,16 @@
     online: int = 0
     batch: int = 0
     late: int = 0
-    """Those of the batch runs whose item cannot be in time any more."""
+    """Batch runs whose item cannot meet its deadline any more; part of `batch`."""
 
     @property
     def total(self) -> int:
-        """All of them."""
+        """Online and batch runs."""
         return self.online + self.batch
 
     @property
     def urgent(self) -> int:
-        """Batch runs whose item can still be in time."""
+        """Batch runs whose item can still meet its deadline."""
         return self.batch - self.late
 
 
@@ -39,43 +39,44 @@
 
 
 class RunTracker:
-    """Upstreams are named by the hash that beacons carry."""
+    """Counts runs by upstream; upstreams are identified by the hash of their name."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start without runs."""
+        """Create a tracker without runs."""
         self._clock = clock
         self._own: dict[int, Runs] = {}
         self._others: dict[int, Runs] = {}
         self._peers: dict[str, _PeerRuns] = {}
-        self._holders: dict[int, dict[int, Runs]] | None = None
-        """Batch runs of others by upstream and daemon, where a relay's word stands for all of them."""
+        self._batch_by_daemon: dict[int, dict[int, Runs]] | None = None
+        """Batch runs of other daemons by upstream and daemon; None unless a relay reports for all
+        daemons."""
 
     def add(self, upstream: int, change: Runs) -> None:
-        """Change this daemon's runs at an upstream."""
+        """Add to this daemon's runs at an upstream; counts in `change` may be negative."""
         _add(self._own, upstream, change)
 
-    def take(self, session: str, by_upstream: Mapping[int, Runs]) -> None:
-        """Take another daemon's runs, all of them."""
+    def apply_peer_runs(self, session: str, by_upstream: Mapping[int, Runs]) -> None:
+        """Replace the runs of another daemon by what it reports now."""
         self.forget(session)
         self._peers[session] = _PeerRuns(self._clock.now(), by_upstream)
         for upstream, runs in by_upstream.items():
             _add(self._others, upstream, runs)
 
     def forget(self, session: str) -> None:
-        """Drop another daemon's runs."""
+        """Drop the runs of another daemon."""
         known = self._peers.pop(session, None)
         for upstream, runs in known.by_upstream.items() if known else ():
             _add(self._others, upstream, Runs(-runs.online, -runs.batch, -runs.late))
 
-    def take_holders(self, holders: dict[int, dict[int, Runs]] | None) -> None:
-        """Take which daemons have batch runs where, by the hashes of upstreams and sessions.
+    def apply_batch_runs(self, by_upstream: dict[int, dict[int, Runs]] | None) -> None:
+        """Replace the batch runs of other daemons, by the hashes of upstream and session.
 
-        None where every daemon speaks for itself.
+        None if every daemon reports its own runs.
         """
-        self._holders = holders
+        self._batch_by_daemon = by_upstream
 
     def expire(self) -> None:
-        """Drop the runs of daemons that have been silent: their streams have ended by now."""
+        """Drop the runs of daemons that have been silent for so long that their streams ended."""
         horizon = self._clock.now() - RUNS_MS
         for session in [name for name, peer in self._peers.items() if peer.at < horizon]:
             self.forget(session)
@@ -89,13 +90,13 @@
         return _sum(self.read_own(upstream), self._others.get(upstream, NO_RUNS))
 
     def list_own(self) -> dict[int, Runs]:
-        """Return this daemon's runs, upstreams without any left out."""
+        """Return this daemon's runs by upstream, without upstreams that have none."""
         return dict(self._own)
 
     def list_batch(self, upstream: int) -> dict[int, Runs]:
-        """Return the runs of every other daemon that has batch runs at an upstream, by hash of its session."""
-        if self._holders is not None:
-            return dict(self._holders.get(upstream, {}))
+        """Return the runs of other daemons with batch runs at an upstream, by session hash."""
+        if self._batch_by_daemon is not None:
+            return dict(self._batch_by_daemon.get(upstream, {}))
         held = {
             hash_name(session): peer.by_upstream[upstream]
             for session, peer in self._peers.items()
@@ -108,9 +109,9 @@
     return Runs(left.online + right.online, left.batch + right.batch, left.late + right.late)
 
 
-def _add(book: dict[int, Runs], upstream: int, change: Runs) -> None:
-    after = _sum(book.get(upstream, NO_RUNS), change)
+def _add(totals: dict[int, Runs], upstream: int, change: Runs) -> None:
+    after = _sum(totals.get(upstream, NO_RUNS), change)
     if after == NO_RUNS:
-        book.pop(upstream, None)
+        totals.pop(upstream, None)
     else:
-        book[upstream] = after
+        totals[upstream] = after
--- a/goldcreststair/components/placement/models.py
+++ b/goldcreststair/components/placement/models.py
@@ -1,4 +1,4 @@
-"""Questions to placement and its answers."""
+"""Placement queries and their results."""
 
 from dataclasses import dataclass
 
@@ -9,20 +9,20 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementQuery:
-    """What a request needs of its upstream."""
+    """Requirements of a request on its upstream."""
 
     service: str
     excluded: frozenset[str] = frozenset()
-    """Names of upstreams that it is not placed at."""
+    """Names of upstreams that must not be chosen."""
     affinity: str = ""
-    """Names the beginning of its prompt; empty if nothing is cached for it."""
+    """Identifies the prompt prefix, for cache affinity; empty if the prefix is not cached."""
     regions: Regions = None
-    """Where its upstream may stand."""
+    """Regions in which the upstream may be; None for all."""
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Where a request goes, and when it may be expected to begin."""
+    """The chosen upstream, and when the first event is expected."""
 
     upstream: UpstreamEntry
     wait_ms: float
@@ -30,7 +30,7 @@
     first_ms: float
     """Expected time from a free slot to the first event."""
     runs_there: int = 0
-    """Runs of all daemons there, as far as this one knows."""
+    """Runs of all daemons at the upstream, as known to this one."""
 
     @property
     def expected_ms(self) -> float:
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoUpstreamAvailable(GoldcreststairError):
-    """No upstream can take the request now."""
+    """No upstream can accept the request now."""
 
     known: bool = True
     """False if the service has no upstream at all."""
@@ -49,7 +49,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RunTimes:
-    """What runs at the upstreams of one service take; learned."""
+    """Moving averages of the measured times of runs of one service."""
 
     run_ms: float
+    """Duration of a run."""
     first_ms: float
+    """Time from the start of a run to its first event."""
--- a/goldcreststair/components/placement/service.py
+++ b/goldcreststair/components/placement/service.py
@@ -1,4 +1,4 @@
-"""Connects placement to upstreams and beacons, and keeps upstreams that are down under watch."""
+"""Connects placement to upstreams and beacons, and probes upstreams that are down."""
 
 import asyncio
 import logging
@@ -35,28 +35,29 @@
 
 ONLINE_RUN: Final = Runs(online=1)
 OnPreempt = Callable[[str, int], None]
-"""Takes an upstream's name and how many batch runs this daemon shall give up there."""
+"""Called with an upstream's name and the number of batch runs that this daemon has to preempt
+there."""
 
 
 class PlacementService:
-    """Chooses upstreams and tells batch when to give way."""
+    """Chooses upstreams, and notifies batch when runs have to be preempted."""
 
     def __init__(self, core: GatewayCore) -> None:
-        """Know no upstream."""
+        """Create the service and register for beacons and notices."""
         self._core = core
         self.controller = PlacementController(core.clock, core.random, core.settings.data_centre)
         self._links = core.get(FLEET_LINKS)
         self._links.contribute(self._contribute)
         self._links.watch(self._on_beacon, self.controller.runs.forget)
         self._links.watch_batch(self._on_batch)
-        self._links.on_notice(DatagramKind.YIELD_NOTICE, self._on_yield_notice)
-        core.on_awake.append(lambda _: self.controller.cold.void())
-        self._on_yield: OnPreempt = lambda name, count: None
+        self._links.on_notice(DatagramKind.YIELD_NOTICE, self._on_preempt_notice)
+        core.on_awake.append(lambda _: self.controller.cold_limiter.reset_after_pause())
+        self._preempt_handler: OnPreempt = lambda name, count: None
         self._unsubscribe: list[Callable[[], None]] = []
         self._tasks: list[asyncio.Task[None]] = []
 
     async def async_start(self) -> None:
-        """Follow the upstreams and the evacuations."""
+        """Subscribe to upstreams, evacuations, catalogue and fleet, and start the probes."""
         board = self._core.blackboard
         self._unsubscribe = [
             board.subscribe(LIVE_UPSTREAMS, self._on_upstreams),
@@ -71,7 +72,7 @@
         self._tasks = [asyncio.create_task(self._async_tick())]
 
     async def async_close(self) -> None:
-        """Stop."""
+        """Unsubscribe, stop the probes and close the connections to upstreams."""
         for unsubscribe in self._unsubscribe:
             unsubscribe()
         self._unsubscribe.clear()
@@ -82,23 +83,26 @@
         self._core.runner.pool.close()
 
     def on_preempt(self, handler: OnPreempt) -> None:
-        """Call when batch runs have to give way."""
-        self._on_yield = handler
+        """Set the handler that is called when batch runs have to be preempted."""
+        self._preempt_handler = handler
 
     def begin(self, name: str, runs: Runs = ONLINE_RUN) -> None:
-        """Count a run and let the other daemons know."""
+        """Record that a run begins, announce it, and preempt batch runs if needed."""
         self.controller.begin(name, runs)
         self._links.announce()
-        if runs.online and not self._give_way(name):
-            self._ask_to_yield(name)
+        if runs.online and not self._preempt_own(name):
+            self._request_preemption(name)
 
     def end(self, name: str, runs: Runs = ONLINE_RUN) -> None:
-        """Count a run as ended and let the other daemons know."""
+        """Record that a run has ended, and announce it to the other daemons."""
         self.controller.end(name, runs)
         self._links.announce()
 
     def mark_down(self, entry: UpstreamEntry, reason: str, subject: str) -> None:
-        """Take it that an upstream accepts no connection, or is silent; `subject` met it so."""
+        """Mark an upstream as down: it refused a connection or is silent.
+
+        `subject` is the request or item that detected it.
+        """
         if not self.controller.is_down(entry.name):
             extra = {"upstream": entry.name, "address": entry.address, "met_by": subject}
             _LOGGER.warning("Upstream down", extra=extra | {"reason": reason})
@@ -107,14 +111,14 @@
         self._links.announce()
 
     def record_head(self, name: str, head: RunHead) -> None:
-        """Take what the head of an answer says of its upstream."""
+        """Record progress, and the cold state reported in the head of an answer."""
         self.controller.record_progress(name)
         if self.controller.mark_cold(name, head.cold_ms):
             extra = {"upstream": name, "cold_ms": head.cold_ms}
-            _LOGGER.info("Upstream cold by its answer", extra=extra)
+            _LOGGER.info("Upstream reports in an answer that it is cold", extra=extra)
 
     def has_connections(self, entry: UpstreamEntry) -> bool:
-        """Return whether this daemon may have one more run at an upstream by its connections."""
+        """Return whether the connection limit of an upstream allows one more run."""
         pool = self._core.runner.pool
         if pool.has_idle(entry.address):
             return True
@@ -126,19 +130,21 @@
         return pool.count_open(entry.address) < max(MIN_CONNECTIONS, share)
 
     def _on_upstreams(self, live: LiveUpstreams) -> None:
-        self.controller.take_upstreams(live)
+        self.controller.apply_upstreams(live)
 
     def _on_catalogue(self, catalogue: Catalogue) -> None:
-        self.controller.take_services(catalogue.services)
+        self.controller.apply_services(catalogue.services)
 
     def _on_fleet(self, fleet: Fleet) -> None:
         if fleet.known:
-            self.controller.cold.take_sessions(fleet.own_session, fleet.vms.keys() - fleet.lost)
+            self.controller.cold_limiter.apply_sessions(
+                fleet.own_session, fleet.vms.keys() - fleet.lost
+            )
         known = {vm.data_centre: vm.region for vm in fleet.vms.values()}
-        self.controller.take_regions(known | self._core.settings.regions)
+        self.controller.apply_regions(known | self._core.settings.regions)
 
     def _on_evacuations(self, evacuations: Evacuations) -> None:
-        self.controller.take_evacuated(evacuations.data_centres)
+        self.controller.apply_evacuations(evacuations.data_centres)
 
     def _contribute(self, beacon: Beacon) -> None:
         own = self.controller.runs.list_own()
@@ -153,44 +159,44 @@
         runs = {
             run.upstream: Runs(run.online, run.batch, run.late or 0) for run in beacon.runs or ()
         }
-        self.controller.runs.take(session, runs)
+        self.controller.runs.apply_peer_runs(session, runs)
         if self._links.has_mesh():
             self.controller.digest_sequence = None
-            self.controller.runs.take_holders(None)
+            self.controller.runs.apply_batch_runs(None)
         else:
             self.controller.digest_sequence = beacon.sequence
         self.controller.mark_suspected(beacon.suspects or ())
         for name in self.controller.list_names(runs):
-            self._give_way(name)
+            self._preempt_own(name)
 
     def _on_batch(self, batch: Sequence[BatchRuns]) -> None:
-        holders: dict[int, dict[int, Runs]] = {}
-        for held in batch:
-            runs = Runs(batch=held.batch, late=held.late or 0)
-            holders.setdefault(held.upstream, {})[held.daemon] = runs
-        self.controller.runs.take_holders(holders)
+        by_upstream: dict[int, dict[int, Runs]] = {}
+        for reported in batch:
+            runs = Runs(batch=reported.batch, late=reported.late or 0)
+            by_upstream.setdefault(reported.upstream, {})[reported.daemon] = runs
+        self.controller.runs.apply_batch_runs(by_upstream)
 
-    def _give_way(self, name: str) -> bool:
+    def _preempt_own(self, name: str) -> bool:
         count = self.controller.count_runs_to_preempt(name, self._core.session_id)
         if count:
-            self._on_yield(name, count)
+            self._preempt_handler(name, count)
         return bool(count)
 
-    def _ask_to_yield(self, name: str) -> None:
+    def _request_preemption(self, name: str) -> None:
         daemon = self.controller.choose_daemon_to_preempt(name)
         if daemon is not None:
             notice = encode_struct(YieldNotice(hash_name(name)))
             self._links.notify_daemon(daemon, DatagramKind.YIELD_NOTICE, notice)
 
-    def _on_yield_notice(self, _: str, payload: bytes) -> None:
+    def _on_preempt_notice(self, _: str, payload: bytes) -> None:
         decoded = decode_struct(YieldNotice, payload)
         if isinstance(decoded, Err):
-            _LOGGER.warning("Notice unreadable: %s", decoded.err_value.message)
+            _LOGGER.warning("Preemption notice unreadable: %s", decoded.err_value.message)
             return
         key = decoded.ok_value.upstream
         for name in self.controller.list_names([key]):
             if self.controller.runs.read_own(key).batch:
-                self._on_yield(name, 1)
+                self._preempt_handler(name, 1)
 
     async def _async_tick(self) -> None:
         while True:
@@ -200,7 +206,7 @@
             await asyncio.gather(*(self._async_probe(entry) for entry in down))
 
     async def _async_probe(self, entry: UpstreamEntry) -> None:
-        # A connection that opens costs an upstream nothing, and tells at once that it is back.
+        # Opening a connection costs an upstream nothing and shows at once that it is back.
         pool = self._core.runner.pool
         if await pool.async_warm(entry.address, CONNECT_TIMEOUT_MS):
             _LOGGER.info("Upstream up", extra={"upstream": entry.name, "address": entry.address})
--- a/goldcreststair/components/placement/spreading.py
+++ b/goldcreststair/components/placement/spreading.py
@@ -1,9 +1,9 @@
-"""Choices from a picture that is older than the time in which it changes; no I/O.
+"""Random choice of upstreams based on load data that is older than the load changes; no I/O.
 
-Load it answers: hundreds of daemons that each place a request or two a second, all by the same digest some
-200 ms old. Were each to take the best upstream, all of them would take the same one until the next digest,
-and its queue outlast the free slots elsewhere. Drawn in proportion to the slots that are free, the upstreams
-fill alike whoever draws.
+Designed for hundreds of daemons that each place one or two requests per second based on the same
+digest, which is about 200 ms old. If each chose the best upstream, all would choose the same one
+until the next digest, and its queue would build up while other upstreams have free slots. A random
+choice weighted by free slots fills all upstreams evenly.
 """
 
 import random
@@ -13,69 +13,79 @@
 
 T = TypeVar("T")
 
-NEAR_WEIGHT: Final = 2.0
-"""How much likelier an upstream of the own data centre is drawn than one of another with as many free slots:
-the way is shorter, and bytes between data centres are paid for."""
-FAVOURITE_WEIGHT: Final = 1.5
-"""The same for the upstream that likely caches the prompt's beginning: some 3 ms of reading."""
-QUEUE_POWER: Final = 2
-"""How fast the chance of a full upstream falls with its queue."""
+SAME_DATA_CENTRE_WEIGHT: Final = 2.0
+"""Factor for an upstream in this daemon's data centre: the round trip is shorter, and traffic
+between data centres is charged."""
+AFFINITY_WEIGHT: Final = 1.5
+"""Factor for the upstream that probably has the prompt prefix cached, which saves about 3 ms of
+prefill."""
+QUEUE_EXPONENT: Final = 2
+"""How steeply the weight of a full upstream falls with the length of its queue."""
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
-    """What one upstream has left for online requests."""
+class SlotUsage:
+    """Slots and runs of one upstream."""
 
     slots: int
     online: int
+    """Online runs, waiting ones included."""
     batch: int
-    near: bool = False
-    favourite: bool = False
+    """Batch runs; they can be preempted."""
+    same_data_centre: bool = False
+    preferred: bool = False
+    """Whether it probably has the prompt prefix cached."""
 
 
-def weigh_rooms(rooms: Sequence[Room]) -> list[float]:
-    """Return the weights by which an online request draws its upstream.
+def compute_weights(usages: Sequence[SlotUsage]) -> list[float]:
+    """Return the weight of each upstream in the choice for an online request.
 
-    Free slots go first, then slots that batch gives up, then the shortest queues.
+    Upstreams with free slots come first, then those with batch runs to preempt, then the shortest
+    queues.
 
-    >>> weigh_rooms([Room(8, 2, 0), Room(8, 5, 2), Room(8, 8, 0)])
+    >>> compute_weights([SlotUsage(8, 2, 0), SlotUsage(8, 5, 2), SlotUsage(8, 8, 0)])
     [6.0, 1.0, 0.0]
-    >>> weigh_rooms([Room(8, 6, 2), Room(8, 8, 0)])
+    >>> compute_weights([SlotUsage(8, 6, 2), SlotUsage(8, 8, 0)])
     [2.0, 0.0]
-    >>> weigh_rooms([Room(8, 8, 0), Room(8, 9, 0)])
+    >>> compute_weights([SlotUsage(8, 8, 0), SlotUsage(8, 9, 0)])
     [1.0, 0.25]
-    >>> weigh_rooms([Room(8, 7, 0), Room(8, 8, 0)])
+    >>> compute_weights([SlotUsage(8, 7, 0), SlotUsage(8, 8, 0)])
     [1.0, 0.0]
     """
-    plain = (
-        [max(0.0, room.slots - room.online - room.batch) for room in rooms],
-        [max(0.0, room.slots - room.online) for room in rooms],
-        [1.0 / (1 + max(0, room.online - room.slots)) ** QUEUE_POWER for room in rooms],
+    stages = (
+        [max(0.0, usage.slots - usage.online - usage.batch) for usage in usages],
+        [max(0.0, usage.slots - usage.online) for usage in usages],
+        [1.0 / (1 + max(0, usage.online - usage.slots)) ** QUEUE_EXPONENT for usage in usages],
     )
-    weights = next(weights for weights in plain if any(weights))
-    return [weight * _prefer(room) for weight, room in zip(weights, rooms, strict=True)]
+    weights = next(weights for weights in stages if any(weights))
+    return [
+        weight * _weigh_preference(usage) for weight, usage in zip(weights, usages, strict=True)
+    ]
 
 
-def _prefer(room: Room) -> float:
-    return (NEAR_WEIGHT if room.near else 1.0) * (FAVOURITE_WEIGHT if room.favourite else 1.0)
+def _weigh_preference(usage: SlotUsage) -> float:
+    return (SAME_DATA_CENTRE_WEIGHT if usage.same_data_centre else 1.0) * (
+        AFFINITY_WEIGHT if usage.preferred else 1.0
+    )
 
 
-def draw(chances: Sequence[tuple[T, float]], chance: random.Random) -> T:
-    """Return one of them, by their weights."""
-    (drawn,) = chance.choices([c for c, _ in chances], [weight for _, weight in chances])
-    return drawn
+def choose_weighted(options: Sequence[tuple[T, float]], rng: random.Random) -> T:
+    """Return one of the options, chosen at random by their weights."""
+    (chosen,) = rng.choices([option for option, _ in options], [weight for _, weight in options])
+    return chosen
 
 
-def allot_starts(free: int, own_waiting: int, others_waiting: int, chance: random.Random) -> int:
+def allot_starts(free: int, own_waiting: int, others_waiting: int, rng: random.Random) -> int:
     """Return how many batch items a daemon may start before the next digest.
 
-    Each one that has items waiting takes its part of the free slots: were each to take all of them, most
-    would have to give way at once.
+    The free slots are divided among the daemons in proportion to their waiting items. If each
+    daemon used all free slots, most of the runs would be preempted at once. A fraction of a slot is
+    rounded up at random.
 
     >>> allot_starts(10, 4, 4, random.Random(1)), allot_starts(10, 4, 0, random.Random(1))
     (5, 10)
     """
     if own_waiting <= 0:
         return free
-    part = free * own_waiting / (own_waiting + max(0, others_waiting))
-    return int(part) + (chance.random() < part % 1)
+    share = free * own_waiting / (own_waiting + max(0, others_waiting))
+    return int(share) + (rng.random() < share % 1)
--- a/tests/components/jobs/test_execution.py
+++ b/tests/components/jobs/test_execution.py
@@ -248,7 +248,7 @@
         await fleet.clock.async_sleep(400)
         controller = member.core.get(PLACEMENT).controller
         before = controller.runs.read_own(hash_name(engine.name)).batch
-        member.core.get(PLACEMENT)._on_yield(engine.name, 1)
+        member.core.get(PLACEMENT)._preempt_handler(engine.name, 1)
         made = round(sinks[0].events)  # type: ignore[attr-defined]
         sinks[0].take_data(make_event("j-0", made + 1))
         await fleet.clock.async_sleep(5_000)
--- a/tests/components/placement/test_cold.py
+++ b/tests/components/placement/test_cold.py
@@ -1,4 +1,4 @@
-"""What cold upstreams get, from one daemon and from all together."""
+"""Requests sent to cold upstreams, by one daemon and by all daemons together."""
 
 import asyncio
 import random
@@ -8,7 +8,7 @@
 from goldcreststair.clock import Millis
 from goldcreststair.components.catalogue.models import Service
 from goldcreststair.components.discovery.models import LiveUpstreams, UpstreamEntry
-from goldcreststair.components.placement.cold import ColdGate, split_cold_rate
+from goldcreststair.components.placement.cold import ColdRateLimiter, split_cold_rate
 from goldcreststair.components.placement.const import COLD_SETTLE_MS
 from goldcreststair.components.placement.controller import PlacementController
 from goldcreststair.components.placement.loads import Runs
@@ -20,9 +20,9 @@
 
 COLD_PER_S = 22.0
 BOUND = COLD_PER_S * 1.5 + 5
-"""Requests within one second that a cold upstream bears."""
+"""Requests within one second that a cold upstream tolerates."""
 COLD_MS = 3_000
-TERMS = {"cold_per_s": COLD_PER_S, "cold_start_ms": COLD_MS}
+SERVICE_FIELDS = {"cold_per_s": COLD_PER_S, "cold_start_ms": COLD_MS}
 SERVICE = Service("s", 0, 8, cold_per_s=COLD_PER_S, cold_start_ms=COLD_MS)
 QUERY = PlacementQuery("s")
 
@@ -30,33 +30,33 @@
 def make_controller(
     clock: ManualClock, cold: tuple[str, ...], names: tuple[str, ...] = ("a", "b")
 ) -> PlacementController:
-    """Return a controller of the only daemon, past its start."""
+    """Return the controller of a single daemon that has finished starting."""
     controller = PlacementController(clock, random.Random(1), "dc0")
-    controller.cold.take_sessions("me", frozenset({"me"}))
-    controller.take_services({"s": SERVICE})
+    controller.cold_limiter.apply_sessions("me", frozenset({"me"}))
+    controller.apply_services({"s": SERVICE})
     entries = {n: UpstreamEntry(n, "s", f"{n}:80", f"dc-{n}", 8, False, 1) for n in names}
     clock.advance(COLD_SETTLE_MS)
     until = Millis(clock.now() + COLD_MS)
-    controller.take_upstreams(
+    controller.apply_upstreams(
         LiveUpstreams(entries, known=True, cold_until=dict.fromkeys(cold, until))
     )
     return controller
 
 
 def choose(controller: PlacementController) -> str:
-    """Return where a request goes."""
+    """Return the name of the upstream chosen for a request."""
     return controller.choose(QUERY).unwrap().upstream.name
 
 
-def test_cold_upstreams_are_left_alone_while_others_have_room() -> None:
+def test_cold_upstreams_are_avoided_while_others_have_free_slots() -> None:
     controller = make_controller(ManualClock(), ("a",))
     assert {choose(controller) for _ in range(20)} == {"b"}
     controller.begin("b", Runs(online=8))
     assert choose(controller) == "a"
 
 
-def test_a_service_whose_upstreams_are_all_cold_is_served_within_their_rate() -> None:
-    """Guards against a whole service that is refused because it has just started."""
+def test_service_with_only_cold_upstreams_is_served_within_their_rate() -> None:
+    """Guards against refusing all requests of a service whose upstreams have just started."""
     clock = ManualClock()
     controller = make_controller(clock, ("a", "b"))
     served = 0
@@ -73,44 +73,44 @@
     assert controller.choose(QUERY).is_ok()
 
 
-def test_batch_takes_no_cold_upstream_while_there_is_a_warm_one() -> None:
+def test_batch_avoids_cold_upstreams_while_one_is_warm() -> None:
     controller = make_controller(ManualClock(), ("a",))
     assert controller.count_free_for_batch("s") == 7
     chosen = controller.choose_for_batch("s")
     assert chosen is not None and chosen.name == "b"
 
 
-def test_upstreams_of_a_data_centre_that_is_taken_back_are_cold() -> None:
-    """Guards against a crash of all upstreams of a data centre in the moment it is used again."""
+def test_upstreams_are_cold_after_an_evacuation_ends() -> None:
+    """Guards against a crash of all upstreams of a data centre when its evacuation ends."""
     clock = ManualClock()
     controller = make_controller(clock, ())
-    controller.take_evacuated(frozenset({"dc-a"}))
-    controller.take_evacuated(frozenset())
+    controller.apply_evacuations(frozenset({"dc-a"}))
+    controller.apply_evacuations(frozenset())
     assert [entry.name for entry in controller.list_cold()] == ["a"]
     clock.advance(COLD_MS)
     assert not controller.list_cold()
 
 
-def test_an_answer_tells_that_an_upstream_has_turned_cold() -> None:
+def test_answer_marks_upstream_as_cold() -> None:
     controller = make_controller(ManualClock(), ())
     assert controller.mark_cold("a", 2_000) and not controller.mark_cold("a", 1_900)
     assert [entry.name for entry in controller.list_cold()] == ["a"]
 
 
 @pytest.mark.parametrize("count", [1, 2, 4, 11, 80, 820])
-def test_all_daemons_together_keep_to_the_rate(count: int) -> None:
+def test_all_daemons_together_stay_within_the_rate(count: int) -> None:
     clock = ManualClock()
     sessions = frozenset(f"v{number}" for number in range(count))
-    gates = [ColdGate(clock) for _ in sessions]
-    for gate, session in zip(gates, sorted(sessions), strict=True):
-        gate.take_sessions(session, sessions)
-    assert not any(gate.may_send("u", COLD_PER_S) for gate in gates)
+    limiters = [ColdRateLimiter(clock) for _ in sessions]
+    for limiter, session in zip(limiters, sorted(sessions), strict=True):
+        limiter.apply_sessions(session, sessions)
+    assert not any(limiter.can_send("u", COLD_PER_S) for limiter in limiters)
     clock.advance(COLD_SETTLE_MS)
     sent = 0
     for _ in range(10):
-        for gate in gates:
-            while gate.may_send("u", COLD_PER_S):
-                gate.record_sent("u")
+        for limiter in limiters:
+            while limiter.can_send("u", COLD_PER_S):
+                limiter.record_sent("u")
                 sent += 1
         clock.advance(99)
     assert COLD_PER_S * 0.5 <= sent <= COLD_PER_S
@@ -118,19 +118,19 @@
 
 @pytest.mark.parametrize("per_s", [0.1, 0.5, 1.0, 3.0, 22.0, 1_000.0])
 @pytest.mark.parametrize("daemons", [1, 5, 80])
-def test_no_share_is_more_than_the_rate(per_s: float, daemons: int) -> None:
+def test_shares_stay_within_the_rate(per_s: float, daemons: int) -> None:
     share = split_cold_rate(per_s, daemons)
-    assert share.holders * share.requests / share.window_ms * 1_000 <= per_s * 1.001
+    assert share.senders * share.requests / share.window_ms * 1_000 <= per_s * 1.001
 
 
-def count_most(engine: RunEngine) -> int:
-    """Return the most requests that arrived within one second while an engine was cold."""
+def count_peak_arrivals(engine: RunEngine) -> int:
+    """Return the highest number of requests within one second while an engine was cold."""
     at = engine.cold_arrivals
     return max((sum(first <= each < first + 1_000 for each in at) for first in at), default=0)
 
 
-async def async_press(fleet: GatewayFleet, seconds: int) -> None:
-    """Send far more than all engines serve, to all daemons alike, with jobs beside it."""
+async def async_overload(fleet: GatewayFleet, seconds: int) -> None:
+    """Send requests far beyond the capacity of all engines to all daemons, and jobs as well."""
     tasks = []
     for number in range(seconds * 20):
         for member in fleet.members[number % 4 :: 4]:
@@ -146,11 +146,11 @@
 
 @pytest.mark.parametrize("vms", [8, 30])
 @pytest.mark.parametrize("how", ["return together", "all vms killed", "taken back"])
-def test_no_cold_upstream_gets_more_than_it_bears(vms: int, how: str) -> None:
-    """Guards against upstreams that crash again as soon as a fleet under pressure finds them empty."""
+def test_cold_upstreams_do_not_exceed_their_rate_under_overload(vms: int, how: str) -> None:
+    """Guards against upstreams that crash again as soon as an overloaded fleet finds them empty."""
 
     async def scenario(fleet: GatewayFleet) -> None:
-        fleet.write_catalogue(cold=TERMS)
+        fleet.write_catalogue(cold=SERVICE_FIELDS)
         engines = fleet.add_engines(6)
         cold = [engine for engine in engines if engine.data_centre == "dc1"]
         await fleet.async_add_many(vms)
@@ -160,7 +160,7 @@
         else:
             for engine in cold:
                 fleet.unregister(engine)
-        await async_press(fleet, 2)
+        await async_overload(fleet, 2)
         for engine in cold:
             engine.cold_until = Millis(fleet.clock.now() + COLD_MS)
             fleet.register(engine)
@@ -170,8 +170,8 @@
             await fleet.async_add_many(vms)
         if how == "taken back":
             fleet.take_back("dc1")
-        await async_press(fleet, 4)
-        assert all(count_most(engine) <= BOUND for engine in cold)
+        await async_overload(fleet, 4)
+        assert all(count_peak_arrivals(engine) <= BOUND for engine in cold)
         assert all(engine.ran for engine in cold)
 
     run_fleet(scenario)
--- a/tests/components/placement/test_controller.py
+++ b/tests/components/placement/test_controller.py
@@ -1,4 +1,4 @@
-"""Where requests go, and which batch runs give way."""
+"""Choice of upstreams for requests, and preemption of batch runs."""
 
 import random
 
@@ -8,7 +8,7 @@
 from goldcreststair.components.discovery.models import LiveUpstreams, UpstreamEntry
 from goldcreststair.components.fleet.protocols import hash_name
 from goldcreststair.components.placement.admission import TimeBudget, decide_retry_after
-from goldcreststair.components.placement.const import BATCH_RESERVE, DOWN_MS, SHED_MS
+from goldcreststair.components.placement.const import BATCH_RESERVE, DOWN_MS, FULL_MS
 from goldcreststair.components.placement.controller import PlacementController
 from goldcreststair.components.placement.loads import Runs
 from goldcreststair.components.placement.models import Placement, PlacementQuery
@@ -27,16 +27,16 @@
 ) -> PlacementController:
     """Return a controller in data centre dc0."""
     controller = PlacementController(clock, random.Random(1), "dc0")
-    controller.take_upstreams(LiveUpstreams({e.name: e for e in entries}, expired, True))
+    controller.apply_upstreams(LiveUpstreams({e.name: e for e in entries}, expired, True))
     return controller
 
 
 def choose(controller: PlacementController, query: PlacementQuery = QUERY) -> str:
-    """Return where a request goes."""
+    """Return the name of the upstream chosen for a request."""
     return controller.choose(query).unwrap().upstream.name
 
 
-def test_the_data_centre_of_the_vm_goes_first_while_slots_are_free() -> None:
+def test_own_data_centre_is_preferred_while_slots_are_free() -> None:
     clock = ManualClock()
     controller = make_controller(clock, make_entry("near"), make_entry("far", "dc1"))
     assert choose(controller) == "near"
@@ -44,50 +44,50 @@
     assert choose(controller) == "far"
 
 
-def test_other_daemons_runs_count() -> None:
-    """A burst filled one engine eight times over while others had free slots.
+def test_runs_of_other_daemons_are_counted() -> None:
+    """In a burst, one engine got eight times its slots while others had free slots.
 
-    Each VM saw only its own requests there.
+    Each VM counted only its own requests there.
     """
     clock = ManualClock()
     controller = make_controller(clock, make_entry("a"), make_entry("b"))
-    controller.runs.take("other", {hash_name("a"): Runs(online=8)})
+    controller.runs.apply_peer_runs("other", {hash_name("a"): Runs(online=8)})
     assert choose(controller) == "b"
-    controller.runs.take("other", {})
-    controller.runs.take("third", {hash_name("b"): Runs(online=8)})
+    controller.runs.apply_peer_runs("other", {})
+    controller.runs.apply_peer_runs("third", {hash_name("b"): Runs(online=8)})
     assert choose(controller) == "a"
     controller.runs.forget("third")
     assert controller.runs.read_all(hash_name("b")) == Runs()
 
 
-def test_runs_of_a_silent_daemon_are_forgotten() -> None:
+def test_runs_of_a_silent_daemon_expire() -> None:
     clock = ManualClock()
     controller = make_controller(clock, make_entry("a"))
-    controller.runs.take("other", {hash_name("a"): Runs(online=8)})
+    controller.runs.apply_peer_runs("other", {hash_name("a"): Runs(online=8)})
     clock.advance(5_000)
     controller.runs.expire()
     assert controller.runs.read_all(hash_name("a")) == Runs()
 
 
-def test_draining_tried_and_unknown_upstreams_get_nothing() -> None:
+def test_draining_excluded_and_unknown_upstreams_get_no_requests() -> None:
     clock = ManualClock()
     controller = make_controller(clock, make_entry("a"), make_entry("b", draining=True))
     assert isinstance(controller.choose(PlacementQuery("s", frozenset({"a"}))), Err)
     assert isinstance(controller.choose(PlacementQuery("other")), Err)
 
 
-@pytest.mark.parametrize(("note", "ms"), [("mark_down", DOWN_MS), ("mark_full", SHED_MS)])
-def test_an_upstream_that_failed_rests_and_comes_back(note: str, ms: int) -> None:
+@pytest.mark.parametrize(("method", "ms"), [("mark_down", DOWN_MS), ("mark_full", FULL_MS)])
+def test_failed_upstream_is_skipped_for_a_while(method: str, ms: int) -> None:
     clock = ManualClock()
     controller = make_controller(clock, make_entry("a"))
-    getattr(controller, note)("a")
+    getattr(controller, method)("a")
     refused = controller.choose(QUERY)
     assert isinstance(refused, Err) and 0 < refused.err_value.retry_after_ms <= ms
     clock.advance(ms)
     assert choose(controller) == "a"
 
 
-def test_anothers_doubt_and_a_lapsed_entry_count_only_against_better_ones() -> None:
+def test_suspected_and_expired_upstreams_are_used_only_as_last_resort() -> None:
     clock = ManualClock()
     entries = (make_entry("a"), make_entry("b", "dc1"), make_entry("c"))
     controller = make_controller(clock, *entries, expired=frozenset({"c"}))
@@ -96,14 +96,14 @@
     assert choose(controller, PlacementQuery("s", frozenset({"b"}))) in ("a", "c")
 
 
-def test_prompts_with_the_same_beginning_go_to_the_same_upstream() -> None:
+def test_prompts_with_the_same_prefix_go_to_the_same_upstream() -> None:
     clock = ManualClock()
     controller = make_controller(clock, *(make_entry(f"e{n}") for n in range(5)))
     chosen = {choose(controller, PlacementQuery("s", affinity="part-7")) for _ in range(20)}
     assert len(chosen) == 1
 
 
-def test_batch_leaves_a_slot_and_starts_nothing_in_a_burst() -> None:
+def test_batch_leaves_a_free_slot_and_starts_no_runs_in_a_burst() -> None:
     clock = ManualClock()
     controller = make_controller(clock, make_entry("a"), make_entry("b"))
     started = 0
@@ -117,34 +117,34 @@
     assert controller.choose_for_batch("s") is None
 
 
-def test_all_daemons_together_give_way_by_just_what_is_too_much() -> None:
-    """Batch runs gave way on every VM for the same request, and half an engine stood empty.
+def test_daemons_together_preempt_exactly_the_excess() -> None:
+    """Every VM preempted a batch run for the same request: half of an engine's slots were empty.
 
-    Each daemon finds its own part from the book that all of them hold; late runs go first.
+    Each daemon has to compute its own part from the runs that all of them know; late runs go first.
     """
     clock = ManualClock()
-    held = {"v1": Runs(batch=3), "v2": Runs(batch=3, late=1), "v3": Runs(batch=1)}
-    parts: dict[str, int] = {}
-    for own in held:
+    batch_runs = {"v1": Runs(batch=3), "v2": Runs(batch=3, late=1), "v3": Runs(batch=1)}
+    preempted: dict[str, int] = {}
+    for own in batch_runs:
         controller = make_controller(clock, make_entry("a"))
-        controller.begin("a", held[own])
-        for other, runs in held.items():
+        controller.begin("a", batch_runs[own])
+        for other, runs in batch_runs.items():
             if other != own:
-                controller.runs.take(other, {hash_name("a"): runs})
-        controller.runs.take("v4", {hash_name("a"): Runs(online=4)})
-        parts[own] = controller.count_runs_to_preempt("a", own)
-    assert sum(parts.values()) == 3
-    assert parts["v2"] >= 1
+                controller.runs.apply_peer_runs(other, {hash_name("a"): runs})
+        controller.runs.apply_peer_runs("v4", {hash_name("a"): Runs(online=4)})
+        preempted[own] = controller.count_runs_to_preempt("a", own)
+    assert sum(preempted.values()) == 3
+    assert preempted["v2"] >= 1
 
 
-def test_nothing_gives_way_while_a_slot_is_free() -> None:
+def test_no_preemption_while_a_slot_is_free() -> None:
     clock = ManualClock()
     controller = make_controller(clock, make_entry("a"))
     controller.begin("a", Runs(online=2, batch=6))
     assert controller.count_runs_to_preempt("a", "me") == 0
 
 
-def test_expected_waits_follow_what_runs_take() -> None:
+def test_expected_waits_follow_measured_run_times() -> None:
     clock = ManualClock()
     controller = make_controller(clock, make_entry("a"))
     for _ in range(200):
@@ -161,18 +161,18 @@
 
 
 @pytest.mark.parametrize(
-    ("wait_ms", "left_ms", "returns"),
+    ("wait_ms", "left_ms", "refused"),
     [
         (0, 5_000, False),
         (200, 5_000, False),
-        # It would be late: sent away, it can be in time after the burst.
+        # Its answer would be late; after a retry it can be in time, when the burst is over.
         (400, 5_000, True),
-        # It has been sent away before: a late answer is better than none.
+        # It has been refused before: a late answer is better than none.
         (400, 4_000, False),
     ],
 )
-def test_who_is_sent_away(wait_ms: float, left_ms: int, returns: bool) -> None:
+def test_late_first_attempts_are_refused(wait_ms: float, left_ms: int, refused: bool) -> None:
     time = TimeBudget(objective_ms=300, timeout_ms=5_000, left_ms=left_ms)
-    return_ms = decide_retry_after(make_placement(wait_ms), time, random.Random(1))
-    assert (return_ms is not None) == returns
-    assert return_ms is None or 300 <= return_ms <= left_ms * 0.3
+    retry_ms = decide_retry_after(make_placement(wait_ms), time, random.Random(1))
+    assert (retry_ms is not None) == refused
+    assert retry_ms is None or 300 <= retry_ms <= left_ms * 0.3
--- a/tests/components/placement/test_spreading.py
+++ b/tests/components/placement/test_spreading.py
@@ -1,4 +1,4 @@
-"""Choices that many daemons make by the same picture."""
+"""Choices of many daemons that are based on the same digest."""
 
 import random
 from collections import Counter
@@ -18,8 +18,11 @@
 DATA_CENTRES = 5
 
 
-def make_gateways(count: int, places: int, free: dict[int, int]) -> list[PlacementController]:
-    """Return daemons that took the same digest: `free` slots by the number of the upstream, none elsewhere."""
+def make_gateways(count: int, data_centres: int, free: dict[int, int]) -> list[PlacementController]:
+    """Return daemons in `data_centres` data centres that know the same digest.
+
+    `free` is the number of free slots by number of the upstream; the others have none.
+    """
     clock = ManualClock()
     entries = [
         UpstreamEntry(f"e{n}", "s", f"e{n}:80", f"dc{n % DATA_CENTRES}", SLOTS, False, 1)
@@ -28,17 +31,17 @@
     gateways = []
     for number in range(count):
         chance = random.Random(number)
-        gateway = PlacementController(clock, chance, f"dc{number % places}")
-        gateway.take_upstreams(LiveUpstreams({e.name: e for e in entries}, frozenset(), True))
+        gateway = PlacementController(clock, chance, f"dc{number % data_centres}")
+        gateway.apply_upstreams(LiveUpstreams({e.name: e for e in entries}, frozenset(), True))
         runs = {hash_name(f"e{n}"): Runs(online=SLOTS - free.get(n, 0)) for n in range(UPSTREAMS)}
-        gateway.runs.take("relay", runs)
+        gateway.runs.apply_peer_runs("relay", runs)
         gateway.digest_sequence = 1
         gateways.append(gateway)
     return gateways
 
 
 @pytest.mark.parametrize(
-    ("free", "places", "arrivals", "most"),
+    ("free", "data_centres", "arrivals", "max_excess"),
     [
         ({n: 4 for n in range(UPSTREAMS)}, DATA_CENTRES, 60, 4),
         ({n: 4 for n in range(UPSTREAMS)}, 1, 60, 3),
@@ -46,23 +49,24 @@
         ({}, DATA_CENTRES, 32, 4),
     ],
 )
-def test_requests_that_arrive_between_two_digests_spread(
-    free: dict[int, int], places: int, arrivals: int, most: int
+def test_requests_between_two_digests_are_spread(
+    free: dict[int, int], data_centres: int, arrivals: int, max_excess: int
 ) -> None:
-    """In a burst 27 requests arrive at as many VMs within a tenth of a second, and all of them see the same
-    digest: each took the upstream that looked best, which then had a queue of twenty beside free slots.
+    """In a burst 27 requests reach 27 VMs within 0.1 s, and all VMs know the same digest. Each VM
+    chose the same best upstream, which then had a queue of twenty while other upstreams had free
+    slots.
     """
     chosen: Counter[str] = Counter()
-    for gateway in make_gateways(arrivals, places, free):
+    for gateway in make_gateways(arrivals, data_centres, free):
         chosen[gateway.choose(PlacementQuery("s")).unwrap().upstream.name] += 1
-    beyond = [count - free.get(int(name[1:]), 0) for name, count in chosen.items()]
-    assert max(beyond) <= most
-    assert sum(max(0, extra) for extra in beyond) <= arrivals // 4 or not free
+    excess = [count - free.get(int(name[1:]), 0) for name, count in chosen.items()]
+    assert max(excess) <= max_excess
+    assert sum(max(0, extra) for extra in excess) <= arrivals // 4 or not free
 
 
-def test_starts_of_batch_items_add_up_to_the_free_slots() -> None:
-    """Thirty VMs with waiting items see the same ten free slots: were each to take all of them, most of the
-    three hundred runs would give way at once, and each would have read its prompt for nothing.
+def test_batch_starts_add_up_to_the_free_slots() -> None:
+    """Thirty VMs with waiting items know of the same ten free slots. If each used all of them, most
+    of the 300 runs would be preempted at once and would have wasted their prefill.
     """
     free, vms, waiting, rounds = 10, 30, 5, 50
     chance = random.Random(1)
