--- a/goldcreststair/components/quotas/controller.py
+++ b/goldcreststair/components/quotas/controller.py
@@ -1,8 +1,9 @@
-"""Whether a customer's rate and burst have room, over all VMs together; no I/O.
+"""Applies each customer's rate and burst limit across all VMs; no I/O.
 
-Load it answers: each customer's requests reach every VM, a few a second to each, and now and then one
-customer sends many times its rate. A bucket that every daemon keeps from all daemons' counters refuses
-what a single bucket would; an even split would refuse what another VM has left.
+Designed for customers whose requests reach every VM, a few per second each, and that sometimes send
+many times their rate. Every daemon keeps a token bucket per customer and updates it from the
+counters of all daemons, so that requests are refused as by a single bucket. An even split of the
+quota would refuse requests on one VM while another VM has tokens left.
 """
 
 from collections.abc import Mapping
@@ -16,64 +17,67 @@
 from goldcreststair.const import MS_PER_SECOND
 
 START_LEVEL: Final = 20.0
-"""Requests that a customer may send at once to a fleet that has just started, over all VMs together.
-What it used before is not known, but nothing was admitted while the fleet was down; callers that waited
-for it come back at once."""
-UNSURE_MS: Final = 1_000
-"""A daemon that has just started takes another one's word for a level within this time."""
+"""Initial tokens per customer when the whole fleet has just started, over all VMs together. The
+usage before the start is not known, but nothing was admitted while the fleet was down, and callers
+that waited for it return at once."""
+UNCERTAIN_MS: Final = 1_000
+"""How long after the creation of a bucket its level may be replaced by the level another daemon
+reports."""
 SETTLED_FRACTION: Final = 0.5
-"""Hearing so much of the fleet, a daemon that has just started can tell what is left of a quota."""
-UNHEARD_EVEN_SHARES: Final = 2.0
-"""A daemon may admit so many times its even part of a burst before it has heard all others again."""
-MIN_UNHEARD_SHARE: Final = 0.2
-"""The same as a part of the burst, in a fleet of many daemons."""
-MIN_UNHEARD: Final = 3
-"""Requests that it may admit so in any case."""
-FLOW_MS: Final = 500
-"""Time over which the flow of others' requests is taken: two or three digests."""
-PICTURE_AGE_MS: Final = 300
-"""A request is known to all so long after it was admitted, where relays sum up."""
-ACTIVE_MS: Final = 3_000
-"""Counters of customers that have been quiet for longer are not sent again."""
+"""Share of the fleet that a daemon must reach after its start to know what is left of a quota."""
+UNCONFIRMED_EVEN_SHARES: Final = 2.0
+"""How many times its even share of a burst a daemon may admit before all others have reported
+again."""
+MIN_UNCONFIRMED_SHARE: Final = 0.2
+"""Lower bound of that limit as a share of the burst, for fleets of many daemons."""
+MIN_UNCONFIRMED: Final = 3
+"""Lower bound of that limit in requests."""
+RECENT_DECAY_MS: Final = 500
+"""Time constant of the decaying count of requests that others admitted: two or three digests."""
+DIGEST_DELAY_MS: Final = 300
+"""Time until all daemons know of an admitted request if counters are sent by relays as digests."""
+ACTIVE_CUSTOMER_MS: Final = 3_000
+"""Counters of customers without a request for longer than this are not sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetShare:
-    """How much of the fleet this daemon can speak for."""
+    """The part of the fleet that this daemon can reach."""
 
     reachable: int = 1
-    """Daemons heard of late, this one included."""
+    """Daemons that reported recently, this one included."""
     members: int = 1
-    """Daemons that may be admitting requests, heard or not."""
+    """Daemons that may be admitting requests, reachable or not."""
     agreed: bool = True
-    """Whether all daemons heard hear the same ones as this one."""
+    """Whether all reachable daemons report the same set of reachable daemons as this one."""
 
     @property
     def isolated(self) -> bool:
-        """Whether this daemon can speak for no part but its own."""
-        # Shows as half as much again as the quota when two VMs lose each other while the rest hear
-        # both: each of the two counts the part of all others as its own and the other's, and all
-        # others give way. Sets of daemons that all hear exactly their own set cannot overlap, so
-        # that the parts of such sets add up to the whole; whoever is in none keeps to one part.
-        # A daemon that hears all counts what each of them spends, whatever they hear.
+        """Whether this daemon may use only its own share of each quota."""
+        # Without this rule customers get 1.5 times their quota when two VMs lose contact with each
+        # other while the rest reaches both: each of the two uses the shares of all but the other,
+        # and the rest, which sees both spend, gets nothing. Sets of daemons in which each member
+        # reaches exactly this set cannot overlap, so their shares add up to the whole quota. A
+        # daemon outside such a set uses one share. A daemon that reaches all others counts what
+        # each of them spends, whatever the others can reach.
         return self.reachable < self.members and not self.agreed
 
     @property
     def fraction(self) -> float:
-        """The part of each quota that the daemons heard may use."""
-        # A daemon behind a cut goes on with its part: it is counted as spent here, so that both
-        # sides of a cut together stay within the quota.
+        """The share of each quota that the reachable daemons may use together."""
+        # An unreachable daemon continues to use its share. Its share is counted as spent here, so
+        # that both sides of a network partition together stay within the quota.
         return (1 if self.isolated else self.reachable) / max(self.reachable, self.members)
 
 
 @dataclass(frozen=True, slots=True)
 class AdmittedCount:
-    """What one daemon says of one customer."""
+    """One daemon's report about one customer."""
 
     admitted: int
-    """Requests that it admitted since it started."""
+    """Requests that the daemon admitted since it started."""
     level: int | None = None
-    """The customer's bucket as it knows it; None while it does not know."""
+    """Level of the customer's bucket at the daemon; None while that is uncertain."""
 
 
 @dataclass(slots=True)
@@ -81,21 +85,21 @@
     level: float
     at: Millis
     since: Millis
-    """When this daemon began to keep it."""
+    """When this daemon created or reset the bucket."""
     admitted: int = 0
-    """Admitted by this daemon since it started."""
+    """Requests admitted by this daemon since it started."""
     admitted_at: Millis = Millis(0)
-    unsure: bool = True
-    """Whether the level is a guess that the word of another daemon replaces."""
-    unheard: int = 0
-    """Admitted by this daemon since `unheard_since`."""
-    unheard_since: Millis = Millis(0)
-    """Not all other daemons have been heard since."""
-    flow: float = 0.0
-    """Requests that others admitted of late, those of longer ago counting less."""
-    flow_at: Millis = Millis(0)
+    uncertain: bool = True
+    """Whether the level is an estimate, to be replaced by the level another daemon reports."""
+    unconfirmed: int = 0
+    """Requests admitted by this daemon since `unconfirmed_since`."""
+    unconfirmed_since: Millis = Millis(0)
+    """Not all other daemons have reported since this time."""
+    recent_admitted: float = 0.0
+    """Requests that other daemons admitted, with exponential decay by age."""
+    recent_at: Millis = Millis(0)
     withheld: float = 0.0
-    """Left to daemons that are not heard, and not yet known to be spent by them."""
+    """Tokens reserved for unreachable daemons and not yet known to be spent by them."""
 
 
 @dataclass(slots=True)
@@ -105,92 +109,93 @@
 
 
 class QuotaController:
-    """One bucket for each customer, from all daemons' counters."""
+    """Keeps one token bucket per customer, updated from the counters of all daemons."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start with empty buckets."""
+        """Create a controller without customers."""
         self._clock = clock
         self._buckets: dict[int, _Bucket] = {}
         self._peers: dict[str, _PeerCounts] = {}
         self._share = FleetShare()
-        self._whole_since: Millis | None = clock.now()
-        """Since when this daemon hears all others; None while it does not."""
-        self._since = clock.now()
+        self._all_reachable_since: Millis | None = clock.now()
+        """Since when all other daemons are reachable; None while they are not."""
+        self._started_at = clock.now()
         self._customers: Mapping[int, CatalogueCustomer] = {}
-        self.picture_age_ms = 0
-        """How old the others' counters are that come by digests; 0 where they come at once."""
+        self.digest_delay_ms = 0
+        """Age of the other daemons' counters if they arrive by digests; 0 if by direct beacons."""
 
-    def take_customers(self, customers: Mapping[int, CatalogueCustomer]) -> None:
-        """Take the customers in force, by the hash that beacons carry."""
+    def apply_customers(self, customers: Mapping[int, CatalogueCustomer]) -> None:
+        """Apply the customers of the catalogue, by the hash of their name as used in beacons."""
         self._refill_all()
         self._customers = customers
         kept = {key: b for key, b in self._buckets.items() if key in customers}
         self._buckets = {key: kept.get(key) or self._make_bucket(key) for key in customers}
         self._refill_all()
 
-    def take_share(self, share: FleetShare) -> None:
-        """Take who is heard; a fall of the share takes its part of every level away at once."""
+    def apply_share(self, share: FleetShare) -> None:
+        """Apply a new fleet share; a smaller one reduces every level in proportion at once."""
         if share == self._share:
             return
         self._refill_all()
         before, self._share = self._share.fraction, share
         if share.fraction < 1:
-            self._whole_since = None
+            self._all_reachable_since = None
         else:
-            self._whole_since = self._whole_since or self._clock.now()
+            self._all_reachable_since = self._all_reachable_since or self._clock.now()
         for key, bucket in self._buckets.items():
             if share.fraction < before:
                 kept = min(bucket.level, bucket.level * share.fraction / before)
                 bucket.withheld += bucket.level - kept
                 bucket.level = kept
-            elif self._is_unsure(bucket):
-                # While a fleet starts, each daemon hears one after the other of those that share the
-                # start's level with it.
+            elif self._is_uncertain(bucket):
+                # While a fleet starts, each daemon discovers one by one the others that share the
+                # initial level with it.
                 bucket.level += (share.fraction - before) * self._find_start_level(key)
 
-    def take_counts(self, session: str, counts: Mapping[int, AdmittedCount]) -> None:
-        """Take what another daemon has admitted since it started."""
+    def apply_counts(self, session: str, counts: Mapping[int, AdmittedCount]) -> None:
+        """Apply the counters of another daemon: what it has admitted since it started."""
         known = self._peers.get(session)
         now = self._clock.now()
-        # What a daemon admitted before it was heard only sets the mark. What it admitted while it was
-        # silent is paid from the part that was withheld for it, and would else be paid for twice.
-        fresh = known is not None and now - known.at <= QUIET_MS
+        # The first report of a daemon only sets the baseline. What a daemon admitted while it was
+        # unreachable is charged to the tokens withheld for it; otherwise it would be charged twice.
+        continuous = known is not None and now - known.at <= QUIET_MS
         before = known.by_customer if known else {}
         for key, count in counts.items():
             bucket = self._buckets.get(key)
             if bucket is None:
                 continue
-            if count.level is not None and self._is_unsure(bucket):
+            if count.level is not None and self._is_uncertain(bucket):
                 self._refill(key, bucket)
-                bucket.level, bucket.unsure = float(count.level), False
-            elif fresh and key in before:
+                bucket.level, bucket.uncertain = float(count.level), False
+            elif continuous and key in before:
                 self._charge(key, count.admitted - before[key].admitted)
-            elif fresh:
+            elif continuous:
                 self._charge(key, count.admitted)
             elif key in before:
-                self._settle(key, count.admitted - before[key].admitted)
+                self._charge_reconnected(key, count.admitted - before[key].admitted)
         self._peers[session] = _PeerCounts(now, {**before, **counts})
 
     def forget(self, session: str) -> None:
-        """Drop a daemon that is gone."""
+        """Drop the counters of a daemon that is gone."""
         self._peers.pop(session, None)
 
-    def void(self) -> None:
-        """Empty every bucket: this process stood still, and others spent meanwhile."""
+    def reset_after_pause(self) -> None:
+        """Empty every bucket after a pause of this process, in which other daemons spent tokens."""
         now = self._clock.now()
         for bucket in self._buckets.values():
             bucket.level = min(bucket.level, 0.0)
             bucket.at = bucket.since = now
-            bucket.unsure = True
-        # What the others admitted meanwhile was theirs to admit.
+            bucket.uncertain = True
+        # What the others admitted during the pause must not be charged to the emptied buckets.
         self._peers.clear()
 
     def admit(
-        self, customer: CatalogueCustomer, key: int, all_heard_at: Millis | None = None
+        self, customer: CatalogueCustomer, key: int, all_seen_since: Millis | None = None
     ) -> int | None:
-        """Count a request; returns None, or after how many ms there will be room.
+        """Admit and count a request, or return the ms after which it can be admitted.
 
-        `all_heard_at` is since when all other daemons have been heard; None if there is no other.
+        All other daemons have reported at `all_seen_since` or later; None if there is no other
+        daemon.
         """
         if customer.rate_per_s <= 0:
             return None
@@ -198,11 +203,13 @@
         if bucket is None:
             bucket = self._buckets[key] = self._make_bucket(key)
         self._refill(key, bucket)
-        level = bucket.level - self._expect_unheard(bucket)
+        level = bucket.level - self._estimate_unreported(bucket)
         if level < 1:
             rate = customer.rate_per_s * self._share.fraction
             return int((1 - level) / rate * MS_PER_SECOND) + 1
-        if all_heard_at is not None and not self._may_go_on_unheard(customer, bucket, all_heard_at):
+        if all_seen_since is not None and not self._may_spend_unconfirmed(
+            customer, bucket, all_seen_since
+        ):
             return BEACON_INTERVAL_MS
         bucket.level -= 1
         bucket.admitted += 1
@@ -210,49 +217,52 @@
         return None
 
     def is_settling(self) -> bool:
-        """Return whether this daemon has just started and does not hear most others yet."""
-        young = self._clock.now() - self._since <= UNSURE_MS
-        return young and self._share.fraction < SETTLED_FRACTION
-
-    def _expect_unheard(self, bucket: _Bucket) -> float:
-        """Return how many requests others have likely admitted that are not heard of yet."""
-        # Shows as quotas exceeded by all that a customer sends while digests are under way, when it
-        # sends many times its rate to hundreds of VMs: each of them still sees the same room.
-        if not self.picture_age_ms:
+        """Return whether this daemon has just started and does not reach most others yet."""
+        just_started = self._clock.now() - self._started_at <= UNCERTAIN_MS
+        return just_started and self._share.fraction < SETTLED_FRACTION
+
+    def _estimate_unreported(self, bucket: _Bucket) -> float:
+        """Return an estimate of the requests that others have admitted but not reported yet."""
+        # Without this estimate, a customer that sends many times its rate to hundreds of VMs
+        # exceeds its quota by all it sends until the next digest, as every VM knows the same level
+        # until then.
+        if not self.digest_delay_ms:
             return 0.0
-        self._fade(bucket)
-        return bucket.flow * self.picture_age_ms / FLOW_MS
+        self._decay_recent(bucket)
+        return bucket.recent_admitted * self.digest_delay_ms / RECENT_DECAY_MS
 
-    def _fade(self, bucket: _Bucket) -> None:
+    def _decay_recent(self, bucket: _Bucket) -> None:
         now = self._clock.now()
-        bucket.flow *= exp((bucket.flow_at - now) / FLOW_MS)
-        bucket.flow_at = now
+        bucket.recent_admitted *= exp((bucket.recent_at - now) / RECENT_DECAY_MS)
+        bucket.recent_at = now
 
-    def _may_go_on_unheard(
-        self, customer: CatalogueCustomer, bucket: _Bucket, all_heard_at: Millis
+    def _may_spend_unconfirmed(
+        self, customer: CatalogueCustomer, bucket: _Bucket, all_seen_since: Millis
     ) -> bool:
-        """Return whether the burst may be spent further before all other daemons are heard again."""
-        # Until a cut is noticed, both its sides spend the whole bucket: shows as a burst more than the
-        # quota for each VM that loses everyone at a full bucket. Callers reach all VMs alike, so that
-        # a VM which spends far more than its part before the others' next beacons is likely cut off.
-        if all_heard_at > bucket.unheard_since:
-            bucket.unheard, bucket.unheard_since = 0, self._clock.now()
-        share = max(UNHEARD_EVEN_SHARES / max(1, self._share.members), MIN_UNHEARD_SHARE)
-        if bucket.unheard >= max(MIN_UNHEARD, customer.burst * share):
+        """Return whether more of the burst may be spent before all other daemons report again."""
+        # Until a network partition is detected, both sides spend the whole bucket: each VM that
+        # loses contact with all others at a full bucket adds one burst to the quota. Callers spread
+        # over all VMs evenly, so a VM that spends far more than its share before the next beacons
+        # of the others has probably lost contact.
+        if all_seen_since > bucket.unconfirmed_since:
+            bucket.unconfirmed, bucket.unconfirmed_since = 0, self._clock.now()
+        share = max(UNCONFIRMED_EVEN_SHARES / max(1, self._share.members), MIN_UNCONFIRMED_SHARE)
+        if bucket.unconfirmed >= max(MIN_UNCONFIRMED, customer.burst * share):
             return False
-        bucket.unheard += 1
+        bucket.unconfirmed += 1
         return True
 
     def refund(self, key: int) -> None:
-        """Take back the count of a request that was refused and never ran."""
+        """Undo the count of a request that was refused later and never ran."""
         bucket = self._buckets.get(key)
-        # Shows as callers who were sent away in an overload and are then refused for their quota.
+        # Without the refund, callers that are refused in an overload are then refused again by
+        # their quota.
         if bucket is not None and bucket.admitted:
             bucket.admitted -= 1
             bucket.level += 1
 
     def describe(self, key: int) -> str:
-        """Return what a decision about a customer rests on, for the log."""
+        """Return the state behind a decision about a customer, for logs and refusals."""
         bucket, share = self._buckets.get(key), self._share
         level = f"{bucket.level:.1f}" if bucket is not None else "unknown"
         isolated = ", each limited to its own share" if share.isolated else ""
@@ -263,13 +273,13 @@
         return f"{customer.rate_per_s:g}/s, burst {customer.burst:g}, level {level}, {reachable}"
 
     def list_counts(self) -> dict[int, AdmittedCount]:
-        """Return what this daemon has admitted since it started, of the customers active here."""
-        horizon = self._clock.now() - ACTIVE_MS
+        """Return this daemon's counters since its start, for the customers active here."""
+        horizon = self._clock.now() - ACTIVE_CUSTOMER_MS
         counts: dict[int, AdmittedCount] = {}
         for key, bucket in self._buckets.items():
             if bucket.admitted and bucket.admitted_at >= horizon:
                 self._refill(key, bucket)
-                level = None if self._is_unsure(bucket) else int(bucket.level)
+                level = None if self._is_uncertain(bucket) else int(bucket.level)
                 counts[key] = AdmittedCount(bucket.admitted, level)
         return counts
 
@@ -281,31 +291,31 @@
         customer = self._customers.get(key)
         return min(START_LEVEL, customer.burst) if customer is not None else 0.0
 
-    def _is_unsure(self, bucket: _Bucket) -> bool:
-        return bucket.unsure and self._clock.now() - bucket.since <= UNSURE_MS
+    def _is_uncertain(self, bucket: _Bucket) -> bool:
+        return bucket.uncertain and self._clock.now() - bucket.since <= UNCERTAIN_MS
 
-    def _settle(self, key: int, admitted: int) -> None:
-        """Charge what a daemon admitted while it was silent beyond what was withheld for it."""
+    def _charge_reconnected(self, key: int, admitted: int) -> None:
+        """Charge what a daemon admitted while unreachable, beyond what was withheld for it."""
         bucket = self._buckets[key]
         self._refill(key, bucket)
-        # Shows as two bursts within one second: until two daemons notice that they do not hear each
-        # other, both spend the whole bucket. What was spent twice is paid back as soon as it shows.
-        paid = min(bucket.withheld, max(0, admitted))
-        bucket.withheld -= paid
-        self._take(key, bucket, admitted - paid)
+        # Until two daemons detect that they have lost contact, both spend the whole bucket: two
+        # bursts within one second. The excess is charged as soon as it is known.
+        covered = min(bucket.withheld, max(0, admitted))
+        bucket.withheld -= covered
+        self._spend(key, bucket, admitted - covered)
 
     def _charge(self, key: int, admitted: int) -> None:
         bucket = self._buckets.get(key)
         if bucket is None or not admitted or self._share.isolated:
             return
         self._refill(key, bucket)
-        self._fade(bucket)
-        bucket.flow = max(0.0, bucket.flow + admitted)
-        self._take(key, bucket, admitted)
+        self._decay_recent(bucket)
+        bucket.recent_admitted = max(0.0, bucket.recent_admitted + admitted)
+        self._spend(key, bucket, admitted)
 
-    def _take(self, key: int, bucket: _Bucket, admitted: float) -> None:
-        # VMs that admit at the same moment overdraw the bucket; a deeper hole would refuse a
-        # customer for seconds for what may also be a counter gone wrong.
+    def _spend(self, key: int, bucket: _Bucket, admitted: float) -> None:
+        # VMs that admit at the same moment overdraw the bucket. The debt is limited to one burst: a
+        # larger one, which may also come from a wrong counter, would block a customer for seconds.
         bucket.level = max(-self._customers[key].burst, bucket.level - admitted)
 
     def _refill_all(self) -> None:
@@ -316,10 +326,10 @@
         now = self._clock.now()
         customer = self._customers.get(key)
         if customer is not None:
-            part = self._share.fraction
+            fraction = self._share.fraction
             earned = (now - bucket.at) * customer.rate_per_s / MS_PER_SECOND
-            bucket.level = min(customer.burst * part, bucket.level + earned * part)
-            bucket.withheld += earned * (1 - part)
-        if self._whole_since is not None and now - self._whole_since > QUIET_MS:
+            bucket.level = min(customer.burst * fraction, bucket.level + earned * fraction)
+            bucket.withheld += earned * (1 - fraction)
+        if self._all_reachable_since is not None and now - self._all_reachable_since > QUIET_MS:
             bucket.withheld = 0.0
         bucket.at = now
--- a/goldcreststair/components/quotas/service.py
+++ b/goldcreststair/components/quotas/service.py
@@ -1,4 +1,4 @@
-"""Connects the quotas to catalogue, fleet and beacons."""
+"""Connects the quotas to the catalogue, the fleet and beacons."""
 
 from collections.abc import Callable
 from typing import Final
@@ -7,7 +7,7 @@
 from goldcreststair.components.fleet.models import FLEET, Fleet
 from goldcreststair.components.fleet.protocols import FLEET_LINKS, hash_name
 from goldcreststair.components.quotas.controller import (
-    PICTURE_AGE_MS,
+    DIGEST_DELAY_MS,
     AdmittedCount,
     FleetShare,
     QuotaController,
@@ -21,17 +21,17 @@
     """Admits requests within each customer's rate and burst."""
 
     def __init__(self, core: GatewayCore) -> None:
-        """Follow nothing yet."""
+        """Create the service and register for beacons."""
         self._core = core
         self._controller = QuotaController(core.clock)
         self._links = core.get(FLEET_LINKS)
         self._links.contribute(self._contribute)
         self._links.watch(self._on_beacon, self._controller.forget)
-        core.on_awake.append(lambda _: self._controller.void())
+        core.on_awake.append(lambda _: self._controller.reset_after_pause())
         self._unsubscribe: list[Callable[[], None]] = []
 
     async def async_start(self) -> None:
-        """Follow the customers and the fleet."""
+        """Subscribe to the catalogue and the fleet."""
         board = self._core.blackboard
         self._unsubscribe = [
             board.subscribe(CATALOGUE, self._on_catalogue),
@@ -41,38 +41,38 @@
         self._on_fleet(board.read(FLEET))
 
     async def async_close(self) -> None:
-        """Stop following."""
+        """Unsubscribe."""
         for unsubscribe in self._unsubscribe:
             unsubscribe()
         self._unsubscribe.clear()
 
     def admit(self, customer: CatalogueCustomer) -> int | None:
-        """Count a request; returns None, or after how many ms there will be room."""
-        heard_at = self._links.read_all_heard_at()
-        refused = self._controller.admit(customer, hash_name(customer.name), heard_at)
-        if refused is None and customer.rate_per_s > 0:
+        """Admit and count a request, or return the ms after which it can be admitted."""
+        seen_since = self._links.read_all_heard_at()
+        retry_after_ms = self._controller.admit(customer, hash_name(customer.name), seen_since)
+        if retry_after_ms is None and customer.rate_per_s > 0:
             self._links.announce()
-        return refused
+        return retry_after_ms
 
     def is_settling(self) -> bool:
-        """Return whether this daemon has just started and cannot tell yet what is left of a quota."""
+        """Return whether this daemon has just started and does not reach most others yet."""
         return self._controller.is_settling()
 
     def refund(self, customer: CatalogueCustomer) -> None:
-        """Take back the count of a request that was refused and never ran."""
+        """Undo the count of a request that was refused later and never ran."""
         self._controller.refund(hash_name(customer.name))
 
     def describe(self, customer: CatalogueCustomer) -> str:
-        """Return what a decision about a customer rests on, for the log."""
+        """Return the state behind a decision about a customer, for logs and refusals."""
         return self._controller.describe(hash_name(customer.name))
 
     def _on_catalogue(self, catalogue: Catalogue) -> None:
         customers = catalogue.customers.values()
-        self._controller.take_customers({hash_name(c.name): c for c in customers})
+        self._controller.apply_customers({hash_name(c.name): c for c in customers})
 
     def _on_fleet(self, fleet: Fleet) -> None:
         members = len(fleet.vms) - len(fleet.lost) + fleet.strangers
-        self._controller.take_share(FleetShare(fleet.close, members, fleet.agreed))
+        self._controller.apply_share(FleetShare(fleet.close, members, fleet.agreed))
 
     def _contribute(self, beacon: Beacon) -> None:
         beacon.admitted = [
@@ -82,8 +82,8 @@
 
     def _on_beacon(self, session: str, beacon: Beacon) -> None:
         counts = {c.customer: AdmittedCount(c.admitted, c.level) for c in beacon.admitted or ()}
-        self._controller.picture_age_ms = 0 if self._links.has_mesh() else PICTURE_AGE_MS
-        self._controller.take_counts(session, counts)
+        self._controller.digest_delay_ms = 0 if self._links.has_mesh() else DIGEST_DELAY_MS
+        self._controller.apply_counts(session, counts)
 
 
 QUOTAS: Final = ComponentKey[QuotaService]("quotas")
--- a/tests/components/quotas/test_controller.py
+++ b/tests/components/quotas/test_controller.py
@@ -1,4 +1,4 @@
-"""One customer's bucket on one daemon."""
+"""One customer's token bucket on one daemon."""
 
 import pytest
 
@@ -18,20 +18,20 @@
 def make_controller(clock: ManualClock) -> QuotaController:
     """Return a controller whose bucket is full."""
     controller = QuotaController(clock)
-    controller.take_customers({KEY: CLUB})
+    controller.apply_customers({KEY: CLUB})
     clock.advance(10_000)
     return controller
 
 
 def drain(controller: QuotaController) -> int:
-    """Admit until refused; returns how many were."""
+    """Admit requests until one is refused; returns the number admitted."""
     admitted = 0
     while controller.admit(CLUB, KEY) is None:
         admitted += 1
     return admitted
 
 
-def test_a_full_bucket_admits_its_burst_and_tells_when_there_is_room() -> None:
+def test_full_bucket_admits_its_burst_and_returns_the_retry_time() -> None:
     clock = ManualClock()
     controller = make_controller(clock)
     assert drain(controller) == 20
@@ -41,163 +41,163 @@
     assert controller.admit(CLUB, KEY) is None
 
 
-def test_what_others_admitted_is_spent_here_too() -> None:
+def test_requests_admitted_by_others_are_charged() -> None:
     clock = ManualClock()
     controller = make_controller(clock)
-    controller.take_counts("other", {KEY: AdmittedCount(100)})
-    controller.take_counts("other", {KEY: AdmittedCount(115)})
+    controller.apply_counts("other", {KEY: AdmittedCount(100)})
+    controller.apply_counts("other", {KEY: AdmittedCount(115)})
     assert drain(controller) == 5
 
 
-def test_what_was_admitted_unheard_is_not_paid_for_twice() -> None:
-    """After a cut healed, a customer was refused for seconds on both of its sides.
+def test_requests_admitted_while_unreachable_are_charged_once() -> None:
+    """After a network partition healed, a customer was refused for seconds on both sides.
 
-    Each side had used only its own part meanwhile, and then took the other's for spent as well.
+    Each side had used only its own share, and then also charged what the other side had used.
     """
     clock = ManualClock()
     controller = make_controller(clock)
-    controller.take_counts("other", {KEY: AdmittedCount(100)})
-    controller.take_share(FleetShare(reachable=1, members=2))
+    controller.apply_counts("other", {KEY: AdmittedCount(100)})
+    controller.apply_share(FleetShare(reachable=1, members=2))
     clock.advance(5_000)
-    controller.take_counts("other", {KEY: AdmittedCount(130)})
-    controller.take_share(FleetShare(reachable=2, members=2))
+    controller.apply_counts("other", {KEY: AdmittedCount(130)})
+    controller.apply_share(FleetShare(reachable=2, members=2))
     assert drain(controller) == 10
     clock.advance(1_000)
     assert drain(controller) == 10
 
 
-def test_what_was_spent_twice_before_a_cut_was_noticed_is_paid_back() -> None:
-    """Two VMs lost each other, and a hot customer got its burst from both of them within a second.
+def test_tokens_spent_twice_before_a_partition_is_detected_are_charged() -> None:
+    """Two VMs lost contact, and a customer over its rate got its burst from both within a second.
 
-    Each took the whole bucket for its own until it noticed the cut. When they hear each other again,
-    what the other one spent beyond its part is charged here.
+    Each spent the whole bucket until it detected the partition. When they reach each other again,
+    what the other one spent beyond its share has to be charged here.
     """
     clock = ManualClock()
     controller = make_controller(clock)
-    controller.take_counts("other", {KEY: AdmittedCount(100)})
+    controller.apply_counts("other", {KEY: AdmittedCount(100)})
     clock.advance(QUIET_MS + 1)
-    controller.take_share(FleetShare(reachable=1, members=2))
+    controller.apply_share(FleetShare(reachable=1, members=2))
     clock.advance(600)
-    controller.take_counts("other", {KEY: AdmittedCount(125)})
-    controller.take_share(FleetShare(reachable=2, members=2))
-    # Its own 10 of the burst, less the 25 spent there, of which 10 + 3 had been withheld.
+    controller.apply_counts("other", {KEY: AdmittedCount(125)})
+    controller.apply_share(FleetShare(reachable=2, members=2))
+    # Its own 10 of the burst, less the 25 spent by the other, of which 10 + 3 had been withheld.
     assert drain(controller) == 0
     clock.advance(400)
     assert drain(controller) in (1, 2)
 
 
-def test_a_daemon_without_a_common_set_of_others_keeps_to_one_part() -> None:
-    """Two VMs lost each other while the rest heard both; each spent all but the other's part.
+def test_isolated_daemon_uses_only_its_own_share() -> None:
+    """Two VMs lost contact while the rest reached both; each spent all but the other's share.
 
-    Together they let half as much again through as the customer's quota, and the rest nothing.
+    Together they admitted 1.5 times the customer's quota, and the other VMs admitted nothing.
     """
     clock = ManualClock()
     controller = make_controller(clock)
-    controller.take_counts("other", {KEY: AdmittedCount(0)})
-    controller.take_share(FleetShare(reachable=3, members=4, agreed=False))
-    controller.take_counts("other", {KEY: AdmittedCount(3)})
+    controller.apply_counts("other", {KEY: AdmittedCount(0)})
+    controller.apply_share(FleetShare(reachable=3, members=4, agreed=False))
+    controller.apply_counts("other", {KEY: AdmittedCount(3)})
     assert drain(controller) == 5
     clock.advance(1_000)
     assert drain(controller) == 2
 
 
-def test_a_daemon_that_hears_all_is_not_bound_by_their_cuts() -> None:
+def test_daemon_that_reaches_all_others_uses_the_whole_quota() -> None:
     clock = ManualClock()
     controller = make_controller(clock)
-    controller.take_share(FleetShare(reachable=4, members=4, agreed=False))
+    controller.apply_share(FleetShare(reachable=4, members=4, agreed=False))
     assert drain(controller) == 20
 
 
-def test_a_daemon_that_is_not_heard_keeps_its_part() -> None:
+def test_unreachable_daemons_keep_their_share() -> None:
     clock = ManualClock()
     controller = make_controller(clock)
-    controller.take_share(FleetShare(reachable=1, members=4))
+    controller.apply_share(FleetShare(reachable=1, members=4))
     assert drain(controller) == 5
     clock.advance(1_000)
     assert drain(controller) == 2
 
 
-def test_a_daemon_that_stood_still_starts_empty() -> None:
-    """A VM woke after a freeze and let a hot customer's whole burst in.
+def test_buckets_are_empty_after_a_pause() -> None:
+    """A VM resumed after a pause and admitted the whole burst of a customer over its rate.
 
-    Its bucket had filled by the clock, while the other daemons had spent what flowed in.
+    Its bucket had refilled by the clock, while the other daemons had spent the same tokens.
     """
     clock = ManualClock()
     controller = make_controller(clock)
     drain(controller)
     clock.advance(8_000)
-    controller.void()
+    controller.reset_after_pause()
     assert drain(controller) == 0
 
 
-def test_a_customer_without_a_rate_is_not_limited() -> None:
+def test_customer_without_a_rate_is_not_limited() -> None:
     controller = make_controller(ManualClock())
     free = CatalogueCustomer("free")
     assert all(controller.admit(free, 9) is None for _ in range(1_000))
 
 
-def test_a_daemon_that_has_just_started_takes_anothers_word_for_the_level() -> None:
+def test_level_reported_by_another_daemon_is_used_after_start() -> None:
     """After each restart of a VM its callers were refused, although their customer had used little.
 
-    Its buckets began empty; the daemons that ran on know how full they are.
+    Its buckets started empty; the daemons that kept running know the levels.
     """
     clock = ManualClock()
     controller = QuotaController(clock)
-    controller.take_customers({KEY: CLUB})
-    controller.take_counts("other", {KEY: AdmittedCount(300, 17)})
+    controller.apply_customers({KEY: CLUB})
+    controller.apply_counts("other", {KEY: AdmittedCount(300, 17)})
     assert drain(controller) == 17
 
 
-def test_a_fleet_that_has_just_started_lets_a_little_in() -> None:
-    """All VMs had lost power; the callers that had waited were refused for their customer's quota.
+def test_fleet_that_has_just_started_admits_a_small_burst() -> None:
+    """After a power loss of all VMs, the waiting callers were refused by their customer's quota.
 
-    Nobody knows what was used before, but nothing was while the fleet was down. Each daemon has its part
-    of a small level, and more of it as it hears the others.
+    The usage before is not known, but nothing was used while the fleet was down. Each daemon gets
+    its share of a small initial level, and more of it as it reaches the others.
     """
     controller = QuotaController(ManualClock())
     large = CatalogueCustomer("large", 50.0, 60.0)
-    controller.take_share(FleetShare(reachable=1, members=4))
-    controller.take_customers({KEY: large})
+    controller.apply_share(FleetShare(reachable=1, members=4))
+    controller.apply_customers({KEY: large})
     admitted = 0
     while controller.admit(large, KEY) is None:
         admitted += 1
     assert admitted == 5
-    controller.take_share(FleetShare(reachable=4, members=4))
+    controller.apply_share(FleetShare(reachable=4, members=4))
     while controller.admit(large, KEY) is None:
         admitted += 1
     assert admitted == 20
 
 
 @pytest.mark.parametrize(
-    ("members", "heard_ms_after", "admitted"),
+    ("members", "report_interval_ms", "admitted"),
     [
-        # Alone in the fleet, nobody else can spend the burst.
+        # A single daemon: no other one can spend the burst.
         (1, None, 20),
-        # Twice its even part of a burst of 20, until the others are heard again.
+        # Twice its even share of a burst of 20, until the others report again.
         (4, 0, 10),
         (12, 0, 4),
-        # Heard since the burst began, the others have told what they spent.
+        # The others have reported what they spent since the burst began.
         (4, 50, 20),
     ],
 )
-def test_a_vm_spends_its_part_of_a_burst_before_it_hears_the_others(
-    members: int, heard_ms_after: int | None, admitted: int
+def test_only_part_of_a_burst_is_spent_before_others_report(
+    members: int, report_interval_ms: int | None, admitted: int
 ) -> None:
-    """A hot customer got three bursts within a second when two VMs lost everyone.
+    """A customer over its rate got three bursts within a second when two VMs lost contact with all.
 
-    The callers reach all VMs alike. Each of the two, and the rest, spent the whole bucket in the time
-    that it takes to notice a silence.
+    Callers spread over all VMs evenly. Each of the two VMs, and the rest, spent the whole bucket in
+    the time that it takes to detect the partition.
     """
     clock = ManualClock()
     controller = make_controller(clock)
-    controller.take_share(FleetShare(reachable=members, members=members))
-    heard_at = None if heard_ms_after is None else clock.now()
+    controller.apply_share(FleetShare(reachable=members, members=members))
+    seen_since = None if report_interval_ms is None else clock.now()
     count = 0
-    while controller.admit(CLUB, KEY, heard_at) is None:
+    while controller.admit(CLUB, KEY, seen_since) is None:
         count += 1
-        if heard_ms_after:
-            clock.advance(heard_ms_after)
-            heard_at = clock.now()
+        if report_interval_ms:
+            clock.advance(report_interval_ms)
+            seen_since = clock.now()
         if count == 20:
             break
     assert count == admitted
--- a/tests/components/quotas/test_fleet.py
+++ b/tests/components/quotas/test_fleet.py
@@ -1,4 +1,4 @@
-"""Quotas over a fleet: one bucket's worth for each customer, also when daemons come, go and are cut."""
+"""Quotas across a fleet: one bucket per customer while daemons start, stop and are cut off."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -14,21 +14,21 @@
 BURST = 34.0
 WINDOW_S = 5
 BOUND = (RATE * WINDOW_S + BURST) * 1.1 + 20
-"""The most that the users let a customer have in any window."""
+"""The highest number of requests of one customer that is allowed in any window."""
 
 Event = Callable[[GatewayFleet], Coroutine[Any, Any, None]]
 
 
-async def async_nothing(fleet: GatewayFleet) -> None:
-    """Let the fleet be."""
+async def async_do_nothing(fleet: GatewayFleet) -> None:
+    """Disturb nothing."""
 
 
 async def async_cut_two(fleet: GatewayFleet) -> None:
-    """Cut two daemons off from all others for longer than it takes to expire them."""
+    """Cut two daemons off from all others for longer than it takes until their entries expire."""
     await fleet.clock.async_sleep(3_000)
-    lonely, others = fleet.members[:2], fleet.members[2:]
-    for member in lonely:
-        for other in (*others, *lonely):
+    isolated, others = fleet.members[:2], fleet.members[2:]
+    for member in isolated:
+        for other in (*others, *isolated):
             fleet.datagrams.cut(member.address, other.address)
     await fleet.clock.async_sleep(12_000)
     fleet.datagrams.heal()
@@ -46,18 +46,18 @@
 
 
 async def async_cut_from_other_centres(fleet: GatewayFleet) -> None:
-    """Cut one daemon off from those of other data centres; its neighbours hear everyone."""
+    """Cut one daemon off from other data centres; the rest of its own reaches all daemons."""
     await fleet.clock.async_sleep(3_000)
-    lonely = fleet.members[0]
+    isolated = fleet.members[0]
     for other in fleet.members[1:]:
-        if other.core.settings.data_centre != lonely.core.settings.data_centre:
-            fleet.datagrams.cut(lonely.address, other.address)
+        if other.core.settings.data_centre != isolated.core.settings.data_centre:
+            fleet.datagrams.cut(isolated.address, other.address)
     await fleet.clock.async_sleep(9_000)
     fleet.datagrams.heal()
 
 
 async def async_cut_pair(fleet: GatewayFleet) -> None:
-    """Cut two daemons off from each other; the rest hear both."""
+    """Cut two daemons off from each other; the rest reaches both."""
     await fleet.clock.async_sleep(3_000)
     fleet.datagrams.cut(fleet.members[0].address, fleet.members[1].address)
     await fleet.clock.async_sleep(9_000)
@@ -65,7 +65,7 @@
 
 
 async def async_restart_some(fleet: GatewayFleet) -> None:
-    """Kill three daemons one after another and start each again at its address."""
+    """Kill three daemons one after another and restart each at its address."""
     for _ in range(3):
         await fleet.clock.async_sleep(2_500)
         member = fleet.members[0]
@@ -74,7 +74,7 @@
 
 
 async def async_restart_all(fleet: GatewayFleet) -> None:
-    """Kill all daemons at once and start them again."""
+    """Kill all daemons at once and restart them."""
     await fleet.clock.async_sleep(6_000)
     members = list(fleet.members)
     await asyncio.gather(*(fleet.async_kill(member) for member in members))
@@ -82,12 +82,12 @@
 
 
 async def async_store_outage(fleet: GatewayFleet) -> None:
-    """Take the store away while a daemon is cut off."""
+    """Make the store unavailable while a daemon is cut off."""
     await fleet.clock.async_sleep(3_000)
     fleet.store.faults.down = True
-    lonely = fleet.members[0]
+    isolated = fleet.members[0]
     for other in fleet.members[1:]:
-        fleet.datagrams.cut(lonely.address, other.address)
+        fleet.datagrams.cut(isolated.address, other.address)
     await fleet.clock.async_sleep(9_000)
     fleet.store.faults.down = False
     fleet.datagrams.heal()
@@ -96,7 +96,7 @@
 @pytest.mark.parametrize(
     "event",
     [
-        async_nothing,
+        async_do_nothing,
         async_cut_two,
         async_halve,
         async_cut_from_other_centres,
@@ -105,11 +105,12 @@
         async_store_outage,
     ],
 )
-def test_a_hot_customer_never_gets_more_than_its_quota(event: Event) -> None:
-    """One customer sent several times its rate and got it, at the others' cost.
+def test_customer_over_its_rate_is_held_to_its_quota(event: Event) -> None:
+    """One customer sent several times its rate and all of it was admitted, to the cost of others.
 
-    Each VM kept the quota by itself while some could not hear each other, had just started, or counted
-    a silent daemon's part as their own. Whatever happens, all VMs together stay within the bound.
+    VMs applied the quota on their own while some could not reach each other, had just started, or
+    used the share of an unreachable daemon. In all these events all VMs together have to stay
+    within the bound.
     """
     found: list[QuotaFigures] = []
 
@@ -124,10 +125,10 @@
     assert found[0].admitted >= 0.5 * found[0].ideal
 
 
-def test_two_daemons_that_lose_each_other_do_not_each_spend_the_rest() -> None:
-    """Two VMs lost each other while all others heard both, and a hot customer got 1.6 times its rate.
+def test_two_daemons_without_contact_do_not_both_spend_the_rest() -> None:
+    """Two VMs lost contact while all others reached both, and a customer got 1.6 times its rate.
 
-    Each of the two took all but the other's part for its own; the rest saw both and gave way.
+    Each of the two used all shares but the other's; the rest counted both and admitted nothing.
     """
     found: list[QuotaFigures] = []
 
@@ -141,11 +142,12 @@
     assert found[0].most_in_window <= BOUND
 
 
-def test_within_its_rate_a_customer_is_not_refused() -> None:
-    """A customer that kept to its rate was refused one request in ten.
+def test_customer_within_its_rate_is_not_refused() -> None:
+    """One in ten requests of a customer within its rate was refused.
 
-    Its requests reached VMs unevenly, and each VM had an even part of the quota. Here all VMs share one
-    bucket: bursts at 1.85 times the mean demand, which is 0.62 of the rate, all pass.
+    Its requests reached the VMs unevenly, and each VM had an even share of the quota. With one
+    bucket for all VMs, bursts of 1.85 times the mean demand, which is 0.62 of the rate, are all
+    admitted.
     """
     found: list[QuotaFigures] = []
 
@@ -158,7 +160,7 @@
     assert found[0].admitted == found[0].asked
 
 
-def test_a_lowered_quota_holds_from_the_next_window_on() -> None:
+def test_lowered_quota_applies_from_the_next_window_on() -> None:
     found: list[QuotaFigures] = []
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -175,10 +177,11 @@
     assert found[0].most_in_window <= (5 * WINDOW_S + 5) * 1.1 + 20
 
 
-def test_a_request_that_was_refused_unrun_costs_no_quota() -> None:
-    """In an overload callers were sent away with a time to come back, and then refused for their quota.
+def test_request_refused_without_a_run_is_refunded() -> None:
+    """In an overload callers were refused with a retry time, and then refused again by their quota.
 
-    Each try had been counted before it was known that no upstream had room for it; none of them ran.
+    Each attempt had been counted before it was known that no upstream had capacity; none of them
+    ran.
     """
     refused: list[FakeResponder] = []
     answered: list[FakeResponder] = []
--- a/tests/components/quotas/test_histories.py
+++ b/tests/components/quotas/test_histories.py
@@ -1,4 +1,4 @@
-"""Quotas over histories of cuts, stops, freezes, restarts and outages that hypothesis draws."""
+"""Quotas under partitions, stops, freezes, restarts and outages drawn by hypothesis."""
 
 import asyncio
 from collections.abc import Sequence
@@ -16,18 +16,18 @@
 BURST = 30.0
 WINDOW_S = 5
 BOUND = (RATE * WINDOW_S + BURST) * 1.1 + 20
-"""The most that the users let a customer have in any window."""
+"""The highest number of requests of one customer that is allowed in any window."""
 VMS = 4
 EXAMPLES = 24
 RELAYED_VMS = 30
-"""A fleet in which relays tell what all others admit."""
+"""Size of a fleet in which relays report what all others admit."""
 RELAYED_EXAMPLES = 10
 LONGEST_FREEZE_MS = 8_000
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One event, what it strikes, and how long the next one waits."""
+    """One event, the daemons it affects, and the pause before the next one."""
 
     kind: str
     first: int
@@ -39,7 +39,7 @@
 
 
 def draw_steps(vms: int, *more: str) -> st.SearchStrategy[Step]:
-    """Return steps that strike a fleet of so many VMs, of more kinds than the usual ones."""
+    """Return a strategy for steps in a fleet of `vms` VMs, of the usual kinds and `more`."""
     number = st.integers(0, vms - 1)
     return st.builds(Step, st.sampled_from((*KINDS, *more)), number, number, st.integers(50, 4_000))
 
@@ -48,24 +48,24 @@
 
 
 class History:
-    """Plays steps on a fleet."""
+    """Applies steps to a fleet."""
 
     def __init__(self, fleet: GatewayFleet, vms: int) -> None:
-        """Nothing has happened to a fleet of so many VMs."""
+        """Create a history without events, for a fleet of `vms` VMs."""
         self._fleet = fleet
         self._vms = vms
         self._freezing: set[asyncio.Task[None]] = set()
 
-    async def async_play(self, steps: Sequence[Step]) -> None:
-        """Play all steps; at the end nothing is cut, and all that stood still go on."""
+    async def async_apply_all(self, steps: Sequence[Step]) -> None:
+        """Apply all steps; at the end all partitions are healed and all paused VMs have resumed."""
         for step in steps:
-            await self._async_play_one(step)
+            await self._async_apply_step(step)
             await self._fleet.clock.async_sleep(step.pause_ms)
         await asyncio.gather(*self._freezing)
         self._fleet.datagrams.heal()
         self._fleet.store.faults.down = False
 
-    async def _async_play_one(self, step: Step) -> None:
+    async def _async_apply_step(self, step: Step) -> None:
         fleet = self._fleet
         if step.kind == "heal":
             fleet.datagrams.heal()
@@ -77,9 +77,9 @@
         elif len(fleet.members) > 1:
             first = fleet.members[step.first % len(fleet.members)]
             second = fleet.members[step.second % len(fleet.members)]
-            await self._async_strike(step, first, second)
+            await self._async_apply(step, first, second)
 
-    async def _async_strike(self, step: Step, first: FleetMember, second: FleetMember) -> None:
+    async def _async_apply(self, step: Step, first: FleetMember, second: FleetMember) -> None:
         fleet = self._fleet
         if step.kind == "cut":
             fleet.datagrams.cut(first.address, second.address)
@@ -105,7 +105,7 @@
                 self._fleet.datagrams.cut(member.address, other.address)
 
     def _split(self, data_centre: str) -> None:
-        """Cut a data centre off from the others."""
+        """Cut a data centre off from all others."""
         members = self._fleet.members
         inside = [m.address for m in members if m.core.settings.data_centre == data_centre]
         for member in members:
@@ -114,7 +114,7 @@
                     self._fleet.datagrams.cut(member.address, address)
 
     async def _async_freeze(self, member: FleetMember, gap_ms: int) -> None:
-        """Let a VM serve and say nothing for a while; then it learns how long it stood still."""
+        """Isolate a VM without requests for a while, then report a pause of that length to it."""
         fleet = self._fleet
         fleet.members.remove(member)
         self._cut_off(member)
@@ -126,12 +126,12 @@
 
 
 def measure_history(steps: Sequence[Step], seed: int, vms: int = VMS) -> int:
-    """Return the most requests in one window while a history is played."""
+    """Return the highest number of requests in one window while a history is applied."""
     found: list[QuotaFigures] = []
 
     async def scenario(fleet: GatewayFleet) -> None:
         await async_start(fleet, vms, RATE, BURST)
-        history = asyncio.create_task(History(fleet, vms).async_play(steps))
+        history = asyncio.create_task(History(fleet, vms).async_apply_all(steps))
         length_s = sum(step.pause_ms for step in steps) / 1_000 + 6
         found.append(await async_drive(fleet, RATE, BURST, RATE * 4, length_s, seed))
         await history
@@ -144,16 +144,17 @@
     max_examples=EXAMPLES,
     deadline=None,
     derandomize=True,
-    # A history that fails is reported as drawn: each one takes a second, and shrinking minutes.
+    # Failing histories are reported as drawn: each one takes a second, and shrinking would take
+    # minutes.
     phases=(Phase.generate,),
     suppress_health_check=[HealthCheck.too_slow],
 )
 @given(st.lists(STEPS, min_size=3, max_size=9), st.integers(0, 1_000))
-def test_no_history_gives_a_hot_customer_more_than_its_quota(steps: list[Step], seed: int) -> None:
-    """One customer sends four times its rate while VMs come, go, stand still and are cut off.
+def test_quota_holds_in_any_history(steps: list[Step], seed: int) -> None:
+    """One customer sends four times its rate while VMs start, stop, are paused and are cut off.
 
-    Each VM decides by what it last heard of the others. Whoever was heard when, all of them together let
-    no more through in any five seconds than the users allow.
+    Each VM decides by the last reports of the others. Whatever it received when, all VMs together
+    must not admit more than the allowed number of requests in any five seconds.
     """
     assert measure_history(steps, seed) <= BOUND
 
@@ -169,11 +170,11 @@
     st.lists(draw_steps(RELAYED_VMS, "split", "split"), min_size=3, max_size=9),
     st.integers(0, 1_000),
 )
-def test_no_history_of_a_large_fleet_gives_more_than_a_quota(steps: list[Step], seed: int) -> None:
-    """The same where relays tell the others' counters, and data centres lose each other as well.
+def test_quota_holds_in_any_history_of_a_relayed_fleet(steps: list[Step], seed: int) -> None:
+    """The same in a fleet with relays, in which data centres lose contact as well.
 
-    A relay that is gone, cut off or followed by a few only must not leave its followers with a part of a
-    quota that others spend too.
+    A relay that is gone, cut off or followed by only a few daemons must not lead its followers to
+    use a share of a quota that others spend too.
     """
     assert measure_history(steps, seed, RELAYED_VMS) <= BOUND
 
@@ -187,19 +188,20 @@
         ([Step("isolate", 0, 0, 50), Step("cut", 0, 0, 50), Step("cut", 0, 0, 2_989)], 50),
     ],
 )
-def test_histories_that_once_broke_the_bound(steps: list[Step], seed: int) -> None:
-    """VMs lost each other for 0.7 to 3 s, and a hot customer got up to 1.05 times what is allowed.
+def test_histories_that_exceeded_the_bound_before(steps: list[Step], seed: int) -> None:
+    """VMs lost contact for 0.7 to 3 s, and a customer over its rate got up to 1.05 times the bound.
 
-    Each of them spent the whole bucket until it noticed, and then the part of VMs that others heard.
+    Each of them spent the whole bucket until it detected this, and then the shares of VMs that were
+    reachable for others.
     """
     assert measure_history(steps, seed) <= BOUND
 
 
-def test_a_new_vm_that_others_cannot_know_is_counted() -> None:
-    """The store turned two VMs away while a third was added, and a hot customer got 231 of 218 requests.
+def test_new_vm_that_is_unknown_to_others_is_counted() -> None:
+    """The store refused two VMs while a third was added: 231 of 218 allowed requests.
 
-    The two do not know the new VM's session, drop its beacons, and share the whole quota among those
-    that they know; the new one takes them for lost, as their heartbeats stand still.
+    The two do not know the new VM's session, drop its beacons, and divide the whole quota among the
+    VMs they know; the new VM considers them lost, as their heartbeats do not advance.
     """
     steps = [
         Step("turn_away", 0, 2, 314),
@@ -215,10 +217,11 @@
     assert measure_history(steps, 451) <= BOUND
 
 
-def test_two_vms_that_lose_everyone_within_a_second_do_not_spend_three_bursts() -> None:
-    """Two VMs were cut off one second apart at a full bucket, and a hot customer got 220 of 218 requests.
+def test_two_vms_cut_off_within_a_second_do_not_spend_three_bursts() -> None:
+    """Two VMs were cut off one second apart at a full bucket: 220 of 218 allowed requests.
 
-    Each of them, and the two that still hear each other, spend the bucket until the cut is noticed.
+    Each of them, and the two that still reach each other, spend the bucket until the partition is
+    detected.
     """
     steps = [
         Step("isolate", 1, 2, 1_043),
@@ -231,10 +234,10 @@
     assert measure_history(steps, 0) <= BOUND
 
 
-def test_a_vm_that_stood_still_while_another_was_added_keeps_to_its_part() -> None:
-    """A VM stood still, others were added while the store turned one away: 222 of 218 requests.
+def test_vm_that_was_paused_while_another_was_added_uses_only_its_share() -> None:
+    """A VM was paused, others were added while the store refused one: 222 of 218 allowed requests.
 
-    The daemons did not know the same members, and each shared the whole quota among those it knew.
+    The daemons did not know the same members, and each divided the whole quota among those it knew.
     """
     steps = [
         Step("freeze", 3, 2, 1_967),
