--- a/goldcreststair/components/forwarding/request.py
+++ b/goldcreststair/components/forwarding/request.py
@@ -32,7 +32,7 @@
     SilenceMonitor,
     UpstreamProbes,
 )
-from goldcreststair.components.placement.admission import CallerTime, decide_return
+from goldcreststair.components.placement.admission import TimeBudget, decide_retry_after
 from goldcreststair.components.placement.models import Placement, PlacementQuery
 from goldcreststair.components.placement.service import PLACEMENT
 from goldcreststair.components.quotas.service import QUOTAS
@@ -156,10 +156,10 @@
             error = UpstreamError(chosen.err_value.message, UpstreamFailure.CONNECT)
             return Err(make_final_refusal(self._progress, error, chosen.err_value.retry_after_ms))
         placement = chosen.ok_value
-        time = CallerTime(self._route.objective_ms, self._route.timeout_ms, self._remaining_ms())
+        time = TimeBudget(self._route.objective_ms, self._route.timeout_ms, self._remaining_ms())
         return_ms = None
         if not self._progress.attempts and not self._progress.excluded:
-            return_ms = decide_return(placement, time, self._core.random)
+            return_ms = decide_retry_after(placement, time, self._core.random)
         if return_ms is None:
             return Ok(placement)
         message = f"first event expected after {placement.expected_ms:.0f} ms"
@@ -199,7 +199,7 @@
         if isinstance(end, Ok) and not placement.wait_ms and self._relay.first_event_at:
             first_ms = self._relay.first_event_at - began_at
             service = self._admitted.service
-            self._placement.controller.note_run(service, first_ms, self._clock.now() - began_at)
+            self._placement.controller.record_run(service, first_ms, self._clock.now() - began_at)
         return end
 
     async def _async_monitor(
@@ -211,7 +211,7 @@
         controller = self._placement.controller
         probes = UpstreamProbes(
             lambda: controller.read_progress(entry.name),
-            lambda: controller.has_witness(entry.name),
+            lambda: controller.is_silence_conclusive(entry.name),
             lambda: self._core.runner.pool.async_warm(entry.address, CONNECT_CHECK_TIMEOUT_MS),
             self._may_abandon_run,
         )
@@ -227,7 +227,7 @@
         if not may_abandon_run(progress, self._route, self._budget, self._remaining_ms()):
             return False
         elsewhere = self._make_query(progress.excluded | {self._upstream})
-        return self._placement.controller.has_place(elsewhere)
+        return self._placement.controller.can_place(elsewhere)
 
     def _make_call(self, upstream: str) -> RunCall:
         request = self._request
@@ -262,13 +262,13 @@
         else:
             progress.attempted.add(entry.name)
         if error.failure in (UpstreamFailure.CONNECT, UpstreamFailure.SILENT):
-            self._placement.note_down(entry, error.message, self._request.request_id)
+            self._placement.mark_down(entry, error.message, self._request.request_id)
         elif error.failure is UpstreamFailure.LOST and not error.status:
             begun = self._relay.run_events > 0
             marks = self._core.get(CRASH_MARKS)
             marks.report_lost(entry, self._admitted.fingerprint, begun=begun)
         elif error.failure is UpstreamFailure.REFUSED:
-            self._placement.controller.note_full(entry.name)
+            self._placement.controller.mark_full(entry.name)
 
     def _finish_answered(self, end: RunEnd) -> None:
         if end.head.status != STATUS_OK or self._route.kind is not CallKind.STREAMING:
@@ -307,10 +307,10 @@
         return self._admitted.ends_at - self._clock.now()
 
     def _on_head(self, head: RunHead) -> None:
-        self._placement.note_head(self._upstream, head)
+        self._placement.record_head(self._upstream, head)
 
     def _on_data(self) -> None:
-        self._placement.controller.note_progress(self._upstream)
+        self._placement.controller.record_progress(self._upstream)
 
     def _log(self, event: str, reason: str, **seen: object) -> None:
         _LOGGER.info(
--- a/goldcreststair/components/forwarding/service.py
+++ b/goldcreststair/components/forwarding/service.py
@@ -161,8 +161,8 @@
         if own.ends_at is None or ends_at <= own.ends_at:
             return True
         now = self._clock.now()
-        read_traits = self._placement.controller.read_traits
-        run_ms = max(read_traits(weighted.service).run_ms for weighted in route.services)
+        read_run_times = self._placement.controller.read_run_times
+        run_ms = max(read_run_times(weighted.service).run_ms for weighted in route.services)
         # A request refused at once is served elsewhere; one that is cut is lost or runs twice. While
         # address lookups may still return this VM, refused callers could be sent here again, so the
         # usual run time decides; afterwards the longest recent duration counts as well.
--- a/standins/measure/overload_policies.py
+++ b/standins/measure/overload_policies.py
@@ -39,7 +39,7 @@
     Switch("batch stays out of bursts", controller, "BATCH_FREE_SHARE", 0.0),
     Switch("slots kept from batch", controller, "BATCH_RESERVE", 0),
     Switch("pause after giving way", controller, "BATCH_HOLD_MS", 0),
-    Switch("late callers sent away", admission, "FRESH_SHARE", 2.0),
+    Switch("late callers sent away", admission, "FIRST_ATTEMPT_SHARE", 2.0),
 )
 
 
@@ -74,9 +74,14 @@
     Switch("order of items", book, "_rank", rank_by_arrival),
     Switch("batch stays out of bursts", controller, "BATCH_FREE_SHARE", 0.0),
     Switch("slots kept from batch", controller, "BATCH_RESERVE", -QUEUED_ITEMS),
-    Switch("giving way", controller.PlacementController, "count_yielding", yield_none),
-    Switch("giving way at once", controller.PlacementController, "choose_yielder", choose_none),
-    Switch("late callers sent away", admission, "FRESH_SHARE", 2.0),
+    Switch("giving way", controller.PlacementController, "count_runs_to_preempt", yield_none),
+    Switch(
+        "giving way at once",
+        controller.PlacementController,
+        "choose_daemon_to_preempt",
+        choose_none,
+    ),
+    Switch("late callers sent away", admission, "FIRST_ATTEMPT_SHARE", 2.0),
     Switch(
         "leaving silent requests",
         silence_detector.SilenceDetector,
--- a/tests/components/jobs/test_execution.py
+++ b/tests/components/jobs/test_execution.py
@@ -148,7 +148,7 @@
         fleet.engines.events_of = {f"other/job-{n}": 1_000 for n in range(5)}
         (member,) = await fleet.async_add_many(1)
         await fleet.clock.async_sleep(1_000)
-        member.core.get(PLACEMENT).controller.picture = picture
+        member.core.get(PLACEMENT).controller.digest_sequence = picture
         assert (await async_submit(fleet, member, "other/job", 5)).accepted
         await fleet.clock.async_sleep(200)
         assert (await async_submit(fleet, member, "digest", 5)).accepted
@@ -248,7 +248,7 @@
         await fleet.clock.async_sleep(400)
         controller = member.core.get(PLACEMENT).controller
         before = controller.runs.read_own(hash_name(engine.name)).batch
-        member.core.get(PLACEMENT)._on_yield(engine.name, 1)
+        member.core.get(PLACEMENT)._preempt_handler(engine.name, 1)
         made = round(sinks[0].events)  # type: ignore[attr-defined]
         sinks[0].on_data(make_event("j-0", made + 1))
         await fleet.clock.async_sleep(5_000)
