--- a/goldcreststair/components/catalogue/service.py
+++ b/goldcreststair/components/catalogue/service.py
@@ -9,12 +9,12 @@
 from goldcreststair.clock import Millis
 from goldcreststair.components.catalogue.controller import CatalogueController
 from goldcreststair.components.catalogue.models import CATALOGUE, Catalogue
-from goldcreststair.components.fleet.asks import AskKind
 from goldcreststair.components.fleet.const import (
     FETCH_RETRY_MS,
     FETCH_TIMEOUT_MS,
-    STORE_FIRST_MS,
+    STORE_HEAD_START_MS,
 )
+from goldcreststair.components.fleet.peer_requests import PeerRequestKind
 from goldcreststair.components.fleet.protocols import FLEET_LINKS
 from goldcreststair.components.operator_rows.service import OPERATOR_ROWS
 from goldcreststair.gateway_core import GatewayCore
@@ -36,15 +36,15 @@
         self._row = reader.row
         self._controller = CatalogueController(reader, section)
         self._links = core.get(FLEET_LINKS)
-        self._links.contribute(self._contribute)
-        self._links.watch(self._on_beacon, lambda _: None)
+        self._links.add_beacon_contributor(self._contribute)
+        self._links.subscribe_beacons(self._on_beacon, lambda _: None)
         core.get(OPERATOR_ROWS).add_listener(self)
         self._fetching: asyncio.Task[None] | None = None
         self._fetched_at = Millis(-FETCH_RETRY_MS)
 
     async def async_start(self) -> None:
         """Serve peers."""
-        self._links.on_ask(AskKind.CATALOGUE, self._async_answer)
+        self._links.register_request_handler(PeerRequestKind.CATALOGUE, self._async_answer)
 
     async def async_close(self) -> None:
         """Stop."""
@@ -60,7 +60,7 @@
         """Put a document in force if it is newer; returns whether it was."""
         taken = self._controller.take_document(document, source)
         if taken:
-            self._links.announce()
+            self._links.schedule_beacon()
         return taken
 
     def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
@@ -86,7 +86,7 @@
 
     async def _async_fetch(self, session: str, version: int) -> None:
         """Get a newer version from the store if it answers, else from the peer that has it."""
-        await self._core.clock.async_sleep(STORE_FIRST_MS)
+        await self._core.clock.async_sleep(STORE_HEAD_START_MS)
         if self._controller.read_document()[0] > version:
             return
         # A feed that went silent looks the same as a store that turns this VM away: one read on
@@ -102,7 +102,9 @@
 
     async def _async_ask(self, session: str, version: int) -> bytes:
         question = encode_struct(CatalogueAsk(version))
-        asked = await self._links.async_ask(session, AskKind.CATALOGUE, question, FETCH_TIMEOUT_MS)
+        asked = await self._links.async_request(
+            session, PeerRequestKind.CATALOGUE, question, FETCH_TIMEOUT_MS
+        )
         if isinstance(asked, Err):
             _LOGGER.warning("No catalogue from a peer: %s", asked.err_value.message)
             return b""
--- a/goldcreststair/components/crash_marks/service.py
+++ b/goldcreststair/components/crash_marks/service.py
@@ -37,7 +37,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-class CrashMarks:
+class CrashTracker:
     """Finds crashes among lost runs, marks what ran there, and knows what to refuse."""
 
     def __init__(self, core: GatewayCore) -> None:
@@ -45,8 +45,8 @@
         self._core = core
         self._clock = core.clock
         self._links = core.get(FLEET_LINKS)
-        self._links.contribute(self._contribute)
-        self._links.watch(self._on_beacon, lambda _: None)
+        self._links.add_beacon_contributor(self._contribute)
+        self._links.subscribe_beacons(self._on_beacon, lambda _: None)
         self._lost: dict[str, dict[str, bool]] = {}
         """By upstream, the runs that were lost a moment ago: fingerprint, and whether it had begun."""
         self._refused: dict[str, Millis] = {}
@@ -67,7 +67,7 @@
         until = self._refused.get(fingerprint)
         return until is not None and until > self._clock.now()
 
-    def report_lost(self, entry: UpstreamEntry, fingerprint: str, *, begun: bool) -> None:
+    def report_lost_run(self, entry: UpstreamEntry, fingerprint: str, *, begun: bool) -> None:
         """Note that a run's connection broke; `begun` says that the run had brought something."""
         if entry.name in self._lost:
             self._lost[entry.name][fingerprint] = begun
@@ -126,7 +126,7 @@
             if not self.is_refused(fingerprint):
                 _LOGGER.warning("Request crashes upstreams", extra={"fingerprint": fingerprint})
                 self._refused[fingerprint] = until
-                self._links.announce()
+                self._links.schedule_beacon()
 
     def _contribute(self, beacon: Beacon) -> None:
         now = self._clock.now()
@@ -159,4 +159,4 @@
     return [names[at : at + MAX_MARKS] for at in range(0, len(names), MAX_MARKS)]
 
 
-CRASH_MARKS: Final = ComponentKey[CrashMarks]("crash_marks")
+CRASH_TRACKER: Final = ComponentKey[CrashTracker]("crash_marks")
--- a/goldcreststair/components/discovery/service.py
+++ b/goldcreststair/components/discovery/service.py
@@ -66,7 +66,7 @@
         """Note whether the store answered."""
         self._controller.note_contact(reached=reached)
         if reached:
-            self._links.note_store()
+            self._links.record_store_contact()
 
     def _decode(self, row: StoredRow) -> UpstreamEntry | None:
         decoded = self._reader.decode(row.key.key, row.value)
--- a/goldcreststair/components/evacuation/service.py
+++ b/goldcreststair/components/evacuation/service.py
@@ -25,9 +25,9 @@
         self._section = core.blackboard.open_section(EVACUATIONS, Evacuations())
         self._published = Evacuations()
         self._links = core.get(FLEET_LINKS)
-        self._links.contribute(self._contribute)
+        self._links.add_beacon_contributor(self._contribute)
         # A VM that the store turns away, or that starts meanwhile, has only the word of others.
-        self._links.watch(self._on_beacon, lambda _: None)
+        self._links.subscribe_beacons(self._on_beacon, lambda _: None)
         core.get(OPERATOR_ROWS).add_listener(self)
 
     async def async_start(self) -> None:
@@ -70,4 +70,4 @@
         for name in sorted(before.data_centres - after.data_centres):
             _LOGGER.info("Evacuation taken back", extra=extra | {"data_centre": name})
         self._section.write(after)
-        self._links.announce()
+        self._links.schedule_beacon()
--- a/goldcreststair/components/fleet/changes.py
+++ b/goldcreststair/components/fleet/changes.py
@@ -27,7 +27,7 @@
 ) -> None:
     """Write a line each; one line for all of them where they are many, as when a large fleet starts."""
     if len(sessions) > MAX_CHANGE_LINES:
-        counts = {"daemons": len(sessions), "of": len(fleet.vms), "heard": fleet.heard}
+        counts = {"daemons": len(sessions), "of": len(fleet.vms), "heard": fleet.reachable}
         _LOGGER.log(level, "%s, many at once", event, extra=counts)
         return
     for session in sessions:
--- a/goldcreststair/components/fleet/const.py
+++ b/goldcreststair/components/fleet/const.py
@@ -39,9 +39,9 @@
 """It is not followed again for so long."""
 RELAY_SETTLED_MS: Final = 3_000
 """A relay that ranks first is returned to once it has been heard for so long."""
-HEARD_MS: Final = 1_200
+UNREACHABLE_MS: Final = 1_200
 """A daemon not heard for so long gets no callers: their first attempt would hang for a second."""
-RUNS_MS: Final = 1_500
+RUNS_VALID_MS: Final = 1_500
 """What a daemon said of its runs counts for so long; its streams end soon after it does."""
 
 HEARTBEAT_MS: Final = 1_000
@@ -53,7 +53,7 @@
 FEED_PAUSE_MS: Final = 1
 """For each daemon, how long changes of the list of daemons are gathered."""
 MAX_FEED_PAUSE_MS: Final = 500
-QUIET_MS: Final = 600
+UNRESPONSIVE_MS: Final = 600
 """A daemon not heard for so long has its heartbeat looked at, before callers must not get it, and its
 part of quotas is left to it: until then two daemons that lose each other both spend it."""
 ISOLATED_MS: Final = 1_500
@@ -83,5 +83,5 @@
 """For one catalogue from a peer."""
 FETCH_RETRY_MS: Final = 500
 """Pause between two tries to get the same catalogue from peers."""
-STORE_FIRST_MS: Final = 300
+STORE_HEAD_START_MS: Final = 300
 """The store has so long to bring a version that a peer already has, before the peer is asked."""
--- a/goldcreststair/components/fleet/controller.py
+++ b/goldcreststair/components/fleet/controller.py
@@ -11,7 +11,6 @@
 from goldcreststair.components.fleet.const import (
     EXPIRE_MS,
     FEED_PAUSE_MS,
-    HEARD_MS,
     HEARTBEAT_MS,
     HEARTBEATS_PER_S,
     ISOLATED_MS,
@@ -19,8 +18,9 @@
     MAX_FEED_PAUSE_MS,
     MEMBER_HEARD_MS,
     MESH_DAEMONS,
-    QUIET_MS,
     SETTLE_MS,
+    UNREACHABLE_MS,
+    UNRESPONSIVE_MS,
 )
 from goldcreststair.components.fleet.models import Fleet, FleetVm, VmState
 from goldcreststair.components.fleet.protocols import hash_name
@@ -97,7 +97,7 @@
         """Take this daemon's own state."""
         self._own_state = state
 
-    def note_store(self) -> None:
+    def record_store_contact(self) -> None:
         """Note an answer of the store."""
         self._store_at = self._clock.now()
 
@@ -254,20 +254,20 @@
         """Return the fleet as it stands now."""
         vms = {self._own.session: self._own}
         states = {self._own.session: self._own_state}
-        heard = frozenset(self._list_heard(HEARD_MS))
+        heard = frozenset(self._list_heard(UNREACHABLE_MS))
         for session, peer in self._peers.items():
             vms[session] = peer.vm
             if session in heard:
                 states[session] = peer.state
         lost = frozenset(s for s in self._peers if s not in states and self.is_lost(s, LOST_MS))
         close = 1 + len(self._list_close())
-        strangers, agreed = self._count_strangers(), self._check_agreed()
-        return Fleet(self._own.session, vms, states, lost, close, strangers, self._known, agreed)
+        unlisted, agreed = self._count_strangers(), self._check_agreed()
+        return Fleet(self._own.session, vms, states, lost, close, unlisted, self._known, agreed)
 
     def _count_strangers(self) -> int:
         # Shows as more than a quota while the store turns a VM away: a daemon that was added meanwhile
         # has its part, and this one shares the whole among those that it knows.
-        horizon = self._clock.now() - HEARD_MS
+        horizon = self._clock.now() - UNREACHABLE_MS
         heard = {s: at for s, at in self._strangers.items() if at >= horizon}
         self._strangers = {s: at for s, at in heard.items() if s not in self._peers}
         return len(self._strangers)
@@ -276,7 +276,7 @@
         """Return whom this daemon hears, itself included, as one number for the beacon."""
         return reduce(xor, map(hash_name, self._list_close()), hash_name(self._own.session))
 
-    def read_all_heard_at(self) -> Millis:
+    def read_all_seen_since(self) -> Millis:
         """Return since when every daemon that counts as heard has been heard; now if there is none."""
         times = [self._read_heard_at(s, self._peers[s]) for s in self._list_close()]
         return min(times, default=self._clock.now())
@@ -294,13 +294,15 @@
             # Shows as more than a quota when a VM hears all others and none hears it: they take its
             # part for spent, and it would spend theirs.
             return []
-        return [session for session in self._list_heard(QUIET_MS) if session not in self._quiet]
+        return [
+            session for session in self._list_heard(UNRESPONSIVE_MS) if session not in self._quiet
+        ]
 
     def _list_heard(self, within_ms: int) -> list[str]:
         now = self._clock.now()
         horizon = now - within_ms
         # Another relay takes over from one that falls silent before all others seem to be.
-        relayed = self._relayed if now - self._relayed_at <= HEARD_MS else frozenset()
+        relayed = self._relayed if now - self._relayed_at <= UNREACHABLE_MS else frozenset()
         return [
             session
             for session, peer in self._peers.items()
--- a/goldcreststair/components/fleet/digests.py
+++ b/goldcreststair/components/fleet/digests.py
@@ -15,10 +15,10 @@
     COUNTS_RESENT_MS,
     FOLLOWED_MS,
     MEMBER_HEARD_MS,
-    QUIET_MS,
     RELAY_SILENT_MS,
     REMOTE_HEARD_MS,
     REMOTE_QUIET_MS,
+    UNRESPONSIVE_MS,
 )
 from goldcreststair.components.fleet.models import VmState
 from goldcreststair.components.fleet.protocols import hash_name
@@ -67,7 +67,7 @@
         source = self._sources.get(name)
         # What was counted before its sender was heard, or while it was silent, is no news: the part of a
         # quota that is withheld for a silent daemon pays for it.
-        known = source is not None and now - source.at <= QUIET_MS
+        known = source is not None and now - source.at <= UNRESPONSIVE_MS
         source = self._sources.setdefault(name, _Source(now))
         source.at = now
         for key, count in counts.items():
--- a/goldcreststair/components/fleet/dissemination.py
+++ b/goldcreststair/components/fleet/dissemination.py
@@ -20,7 +20,7 @@
 )
 from goldcreststair.components.fleet.digests import DigestBook
 from goldcreststair.components.fleet.models import FleetVm, VmState
-from goldcreststair.components.fleet.protocols import DatagramKind, OnBatchRuns, hash_name
+from goldcreststair.components.fleet.protocols import BatchRunsListener, DatagramKind, hash_name
 from goldcreststair.components.fleet.relays import RelayChoice
 from goldcreststair.gateway_core import GatewayCore
 from goldcreststair.wire.codec import decode_struct, encode_struct
@@ -69,7 +69,7 @@
     def drop_picture(self, relay: str) -> None:
         """Forget what a relay said, as another one is followed."""
 
-    def announce(self) -> None:
+    def schedule_beacon(self) -> None:
         """Send a beacon soon."""
 
 
@@ -118,7 +118,7 @@
         self._timer: TimerHandle | None = None
         self._due_at = Millis(0)
         """When the timer fires."""
-        self._on_batch: list[OnBatchRuns] = []
+        self._on_batch: list[BatchRunsListener] = []
 
     def close(self) -> None:
         """Stop."""
@@ -126,7 +126,7 @@
             self._timer.cancel()
             self._timer = None
 
-    def watch_batch(self, on_batch: OnBatchRuns) -> None:
+    def subscribe_batch_runs(self, on_batch: BatchRunsListener) -> None:
         """Be told of the batch runs of all other daemons, whenever a digest comes."""
         self._on_batch.append(on_batch)
 
@@ -162,7 +162,7 @@
             extra = {"relay": followed, "before": before}
             _LOGGER.info("Relay followed", extra=extra)
             self._taken = ("", 0)
-            self._taker.announce()
+            self._taker.schedule_beacon()
         unheard_ms = self._clock.now() - self._included_at
         self._taker.note_unheard(unheard=unheard_ms > MEMBER_HEARD_MS)
         self._arm()
--- a/goldcreststair/components/fleet/models.py
+++ b/goldcreststair/components/fleet/models.py
@@ -42,17 +42,17 @@
     """By session, of those heard of late."""
     lost: frozenset[str] = frozenset()
     """Sessions that show no sign of life, in the store either: they admit nothing any more."""
-    close: int = 1
+    responsive: int = 1
     """How many daemons were heard just now, within a few beacons, this one included."""
-    strangers: int = 0
+    unlisted: int = 0
     """Daemons heard whose session this daemon does not know: it cannot read the store's list."""
-    known: bool = False
+    loaded: bool = False
     """Whether the store's list of sessions has been read."""
     agreed: bool = True
     """Whether the daemons heard just now say that they hear the same ones as this one does."""
 
     @property
-    def heard(self) -> int:
+    def reachable(self) -> int:
         """How many daemons are heard, this one included."""
         return len(self.states)
 
@@ -69,9 +69,9 @@
     """What this daemon says of itself."""
 
     state: VmState = VmState.STARTING
-    ends_at: Millis | None = None
+    stops_at: Millis | None = None
     """When a leaving daemon ends what still runs."""
-    named_until: Millis | None = None
+    advertised_until: Millis | None = None
     """Until when callers may hold an answer that names a leaving daemon."""
 
 
--- a/goldcreststair/components/fleet/asks.py
+++ b/goldcreststair/components/fleet/peer_requests.py
@@ -23,7 +23,7 @@
 """An asker that says nothing, or reads nothing, is let go after so long."""
 
 
-class AskKind(IntEnum):
+class PeerRequestKind(IntEnum):
     """The first byte of a question."""
 
     CATALOGUE = 1
@@ -31,23 +31,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskError(GoldcreststairError):
+class PeerRequestError(GoldcreststairError):
     """A question without an answer."""
 
     not_sent: bool = False
     """Whether the other daemon certainly did not get it."""
 
 
-OnAsk = Callable[[bytes], Awaitable[bytes]]
+PeerRequestHandler = Callable[[bytes], Awaitable[bytes]]
 
 
-class PeerAsks:
+class PeerRequests:
     """Asks and answers."""
 
     def __init__(self, core: GatewayCore) -> None:
         """Answer nothing yet."""
         self._core = core
-        self._handlers: dict[AskKind, OnAsk] = {}
+        self._handlers: dict[PeerRequestKind, PeerRequestHandler] = {}
         self._serving: set[asyncio.Task[None]] = set()
 
     async def async_start(self) -> None:
@@ -64,32 +64,36 @@
             task.cancel()
         await asyncio.gather(*self._serving, return_exceptions=True)
 
-    def on_ask(self, kind: AskKind, handler: OnAsk) -> None:
+    def register_request_handler(self, kind: PeerRequestKind, handler: PeerRequestHandler) -> None:
         """Answer the questions of one kind."""
         self._handlers[kind] = handler
 
-    async def async_ask(
-        self, session: str, kind: AskKind, question: bytes, timeout_ms: int
-    ) -> Result[bytes, AskError]:
+    async def async_request(
+        self, session: str, kind: PeerRequestKind, question: bytes, timeout_ms: int
+    ) -> Result[bytes, PeerRequestError]:
         """Ask one daemon."""
         vm = self._core.blackboard.read(FLEET).vms.get(session)
         if vm is None:
-            return Err(AskError(f"{session} is no daemon", not_sent=True))
+            return Err(PeerRequestError(f"{session} is no daemon", not_sent=True))
         opened = await self._core.transport.async_connect(
             vm.address, vm.peer_port, min(CONNECT_TIMEOUT_MS, timeout_ms)
         )
         if isinstance(opened, Err):
-            return Err(AskError(opened.err_value.message, not_sent=True))
+            return Err(PeerRequestError(opened.err_value.message, not_sent=True))
         channel = opened.ok_value
         try:
             channel.send(bytes((kind,)) + question)
             async with asyncio.timeout(timeout_ms / MS_PER_SECOND):
                 answer = await channel.async_receive()
         except TimeoutError:
-            return Err(AskError(f"{vm.address} is silent"))
+            return Err(PeerRequestError(f"{vm.address} is silent"))
         finally:
             channel.close()
-        return Ok(answer) if answer is not None else Err(AskError(f"{vm.address} gave no answer"))
+        return (
+            Ok(answer)
+            if answer is not None
+            else Err(PeerRequestError(f"{vm.address} gave no answer"))
+        )
 
     def _on_accept(self, channel: PeerChannel) -> None:
         task = asyncio.create_task(self._async_serve(channel))
@@ -100,7 +104,7 @@
         try:
             async with asyncio.timeout(SERVE_TIMEOUT_MS / MS_PER_SECOND):
                 frame = await channel.async_receive()
-                handler = self._handlers.get(AskKind(frame[0])) if frame else None
+                handler = self._handlers.get(PeerRequestKind(frame[0])) if frame else None
                 if handler is None or not frame:
                     return
                 channel.send(await handler(frame[1:]))
--- a/goldcreststair/components/fleet/protocols.py
+++ b/goldcreststair/components/fleet/protocols.py
@@ -8,17 +8,21 @@
 from result import Result
 
 from goldcreststair.clock import Millis
-from goldcreststair.components.fleet.asks import AskError, AskKind, OnAsk
+from goldcreststair.components.fleet.peer_requests import (
+    PeerRequestError,
+    PeerRequestHandler,
+    PeerRequestKind,
+)
 from goldcreststair.core import ComponentKey
 
-Contribute = Callable[[Any], None]
+BeaconContributor = Callable[[Any], None]
 """Fills its fields of an outgoing `Beacon`."""
-OnBeacon = Callable[[str, Any], None]
+BeaconListener = Callable[[str, Any], None]
 """Takes the session and the `Beacon` of another daemon; in a large fleet, a relay's session and what all others
 say together, as one beacon."""
-OnBatchRuns = Callable[[Sequence[Any]], None]
+BatchRunsListener = Callable[[Sequence[Any]], None]
 """Takes the `BatchRuns` of all other daemons."""
-OnNotice = Callable[[str, bytes], None]
+NoticeHandler = Callable[[str, bytes], None]
 """Takes the session that sent a notice and its payload."""
 
 
@@ -34,42 +38,42 @@
 class FleetLinks(Protocol):
     """Tells other daemons what this one knows, and the other way round."""
 
-    def contribute(self, contribute: Contribute) -> None:
+    def add_beacon_contributor(self, add_beacon_contributor: BeaconContributor) -> None:
         """Add to every beacon from now on."""
 
-    def watch(self, on_beacon: OnBeacon, on_gone: Callable[[str], None]) -> None:
+    def subscribe_beacons(self, on_beacon: BeaconListener, on_gone: Callable[[str], None]) -> None:
         """Be told of every beacon that is news, and of each daemon that is gone.
 
         A relay whose word is no longer taken counts as gone.
         """
 
-    def watch_batch(self, on_batch: OnBatchRuns) -> None:
+    def subscribe_batch_runs(self, on_batch: BatchRunsListener) -> None:
         """In a large fleet, be told which daemons have batch runs where."""
 
     def has_mesh(self) -> bool:
         """Return whether all daemons tell each other; else relays do, and all is known later."""
 
-    def announce(self) -> None:
+    def schedule_beacon(self) -> None:
         """Send a beacon soon, as something changed that others act on."""
 
     def notify(self, session: str, kind: DatagramKind, payload: bytes) -> None:
         """Send one datagram, which may be lost."""
 
-    def notify_daemon(self, daemon: int, kind: DatagramKind, payload: bytes) -> None:
+    def notify_by_hash(self, daemon: int, kind: DatagramKind, payload: bytes) -> None:
         """Send one datagram to the daemon whose session has this hash."""
 
-    def on_ask(self, kind: AskKind, handler: OnAsk) -> None:
+    def register_request_handler(self, kind: PeerRequestKind, handler: PeerRequestHandler) -> None:
         """Answer the questions of one kind."""
 
-    async def async_ask(
-        self, session: str, kind: AskKind, question: bytes, timeout_ms: int
-    ) -> Result[bytes, AskError]:
+    async def async_request(
+        self, session: str, kind: PeerRequestKind, question: bytes, timeout_ms: int
+    ) -> Result[bytes, PeerRequestError]:
         """Ask one daemon over a connection of its own."""
 
-    def list_with_store(self) -> list[str]:
+    def list_with_store_access(self) -> list[str]:
         """Return the other daemons that are heard and whose store answers."""
 
-    def on_notice(self, kind: DatagramKind, handler: OnNotice) -> None:
+    def register_notice_handler(self, kind: DatagramKind, handler: NoticeHandler) -> None:
         """Handle the datagrams of one kind."""
 
     def is_isolated(self) -> bool:
@@ -78,7 +82,7 @@
     def read_contact_age_ms(self) -> int:
         """Return the ms since the store or another daemon was heard; 0 if there is no other."""
 
-    def read_all_heard_at(self) -> Millis:
+    def read_all_seen_since(self) -> Millis:
         """Return since when every daemon that counts as heard has been heard; now if there is none."""
 
     def is_lost(self, session: str, after_ms: int) -> bool:
@@ -90,7 +94,7 @@
     async def async_list_sessions(self) -> frozenset[str] | None:
         """Return the sessions that stand in the store now, or None if it does not answer."""
 
-    def note_store(self) -> None:
+    def record_store_contact(self) -> None:
         """Note an answer of the store."""
 
     async def async_leave(self) -> None:
--- a/goldcreststair/components/fleet/service.py
+++ b/goldcreststair/components/fleet/service.py
@@ -8,7 +8,6 @@
 from result import Err, Result
 
 from goldcreststair.clock import Millis, TimerHandle
-from goldcreststair.components.fleet.asks import AskError, AskKind, OnAsk, PeerAsks
 from goldcreststair.components.fleet.changes import log_changes
 from goldcreststair.components.fleet.const import (
     BEACON_INTERVAL_MS,
@@ -24,7 +23,6 @@
     choose_feed_pause_ms,
 )
 from goldcreststair.components.fleet.dissemination import RelayedLinks
-from goldcreststair.components.fleet.keeper import SessionKeeper
 from goldcreststair.components.fleet.models import (
     FLEET,
     OWN_STATE,
@@ -32,13 +30,20 @@
     OwnState,
     VmState,
 )
+from goldcreststair.components.fleet.peer_requests import (
+    PeerRequestError,
+    PeerRequestHandler,
+    PeerRequestKind,
+    PeerRequests,
+)
 from goldcreststair.components.fleet.protocols import (
-    Contribute,
+    BatchRunsListener,
+    BeaconContributor,
+    BeaconListener,
     DatagramKind,
-    OnBatchRuns,
-    OnBeacon,
-    OnNotice,
+    NoticeHandler,
 )
+from goldcreststair.components.fleet.session_heartbeat import SessionKeeper
 from goldcreststair.components.fleet.sessions import PARTS, async_read_parts, decode_session
 from goldcreststair.gateway_core import GatewayCore
 from goldcreststair.store.feed import TableFeed
@@ -75,10 +80,10 @@
             read_pause_ms=lambda: choose_feed_pause_ms(len(core.blackboard.read(FLEET).vms)),
             parts=PARTS,
         )
-        self._contributors: list[Contribute] = []
-        self._watchers: list[OnBeacon] = []
+        self._contributors: list[BeaconContributor] = []
+        self._watchers: list[BeaconListener] = []
         self._gone_watchers: list[Callable[[str], None]] = []
-        self._handlers: dict[int, OnNotice] = {}
+        self._handlers: dict[int, NoticeHandler] = {}
         """By the kind of datagram."""
         self._sequence = 0
         self._heard: dict[str, int] = {}
@@ -87,7 +92,7 @@
         self._timer: TimerHandle | None = None
         self._tasks: list[asyncio.Task[None]] = []
         self._unsubscribe: Callable[[], None] = lambda: None
-        self._asks = PeerAsks(core)
+        self._asks = PeerRequests(core)
         self._with_store: set[str] = set()
         """Sessions whose last beacon said that the store answers them."""
         self._keeper = SessionKeeper(core, self._own, self._controller, self)
@@ -128,24 +133,24 @@
         """Remove this daemon's rows, so that nobody waits for its silence."""
         await self._keeper.async_leave()
 
-    def contribute(self, contribute: Contribute) -> None:
+    def add_beacon_contributor(self, add_beacon_contributor: BeaconContributor) -> None:
         """Add to every beacon from now on."""
-        self._contributors.append(contribute)
+        self._contributors.append(add_beacon_contributor)
 
-    def watch(self, on_beacon: OnBeacon, on_gone: Callable[[str], None]) -> None:
+    def subscribe_beacons(self, on_beacon: BeaconListener, on_gone: Callable[[str], None]) -> None:
         """Be told of every beacon that is news, and of each daemon that is gone."""
         self._watchers.append(on_beacon)
         self._gone_watchers.append(on_gone)
 
-    def watch_batch(self, on_batch: OnBatchRuns) -> None:
+    def subscribe_batch_runs(self, on_batch: BatchRunsListener) -> None:
         """In a large fleet, be told which daemons have batch runs where."""
-        self._relayed.watch_batch(on_batch)
+        self._relayed.subscribe_batch_runs(on_batch)
 
     def has_mesh(self) -> bool:
         """Return whether all daemons tell each other; else relays do, and all is known later."""
         return self._controller.has_mesh()
 
-    def announce(self) -> None:
+    def schedule_beacon(self) -> None:
         """Send a beacon soon, as something changed that others act on."""
         if self._timer is not None:
             return
@@ -161,28 +166,28 @@
             datagram = bytes((kind, len(sender))) + sender + payload
             self._core.datagrams.send(vm.address, vm.peer_port, datagram)
 
-    def notify_daemon(self, daemon: int, kind: DatagramKind, payload: bytes) -> None:
+    def notify_by_hash(self, daemon: int, kind: DatagramKind, payload: bytes) -> None:
         """Send one datagram to the daemon whose session has this hash."""
         session = self._relayed.find_session(daemon)
         if session:
             self.notify(session, kind, payload)
 
-    def on_ask(self, kind: AskKind, handler: OnAsk) -> None:
+    def register_request_handler(self, kind: PeerRequestKind, handler: PeerRequestHandler) -> None:
         """Answer the questions of one kind."""
-        self._asks.on_ask(kind, handler)
+        self._asks.register_request_handler(kind, handler)
 
-    async def async_ask(
-        self, session: str, kind: AskKind, question: bytes, timeout_ms: int
-    ) -> Result[bytes, AskError]:
+    async def async_request(
+        self, session: str, kind: PeerRequestKind, question: bytes, timeout_ms: int
+    ) -> Result[bytes, PeerRequestError]:
         """Ask one daemon over a connection of its own."""
-        return await self._asks.async_ask(session, kind, question, timeout_ms)
+        return await self._asks.async_request(session, kind, question, timeout_ms)
 
-    def list_with_store(self) -> list[str]:
+    def list_with_store_access(self) -> list[str]:
         """Return the other daemons that are heard and whose store answers."""
         states = self._core.blackboard.read(FLEET).states
         return [s for s in states if s in self._with_store and states[s] is VmState.READY]
 
-    def on_notice(self, kind: DatagramKind, handler: OnNotice) -> None:
+    def register_notice_handler(self, kind: DatagramKind, handler: NoticeHandler) -> None:
         """Handle the datagrams of one kind."""
         self._handlers[kind] = handler
 
@@ -196,9 +201,9 @@
         self._check_awake()
         return self._controller.read_contact_age_ms()
 
-    def read_all_heard_at(self) -> Millis:
+    def read_all_seen_since(self) -> Millis:
         """Return since when every daemon that counts as heard has been heard; now if there is none."""
-        return self._controller.read_all_heard_at()
+        return self._controller.read_all_seen_since()
 
     def is_lost(self, session: str, after_ms: int) -> bool:
         """Return whether a daemon has shown no sign of life for so long, the store included."""
@@ -215,9 +220,9 @@
             return None
         return frozenset(row.key.key for row in read.ok_value.rows)
 
-    def note_store(self) -> None:
+    def record_store_contact(self) -> None:
         """Note an answer of the store."""
-        self._controller.note_store()
+        self._controller.record_store_contact()
 
     def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
         """Take every session in the store."""
@@ -238,12 +243,12 @@
     def note_contact(self, *, reached: bool) -> None:
         """Note whether the store answered."""
         if reached:
-            self._controller.note_store()
+            self._controller.record_store_contact()
 
     def _on_own_state(self, own: OwnState) -> None:
         self._controller.set_own_state(own.state)
         self.publish()
-        self.announce()
+        self.schedule_beacon()
 
     def publish(self) -> None:
         """Put the fleet as it stands now on the blackboard."""
@@ -258,10 +263,10 @@
             # Callers of a daemon that has just started wait until a relay tells it of the others.
             if not (self._controller.has_mesh() or self._relayed.is_served()):
                 self._relayed.tick()
-                self.announce()
-        if fleet.close != before.close and self._controller.has_mesh():
+                self.schedule_beacon()
+        if fleet.responsive != before.responsive and self._controller.has_mesh():
             # Until the others know whom this daemon hears, their sets differ.
-            self.announce()
+            self.schedule_beacon()
         for session in before.vms.keys() - fleet.vms.keys():
             self._heard.pop(session, None)
             self._with_store.discard(session)
@@ -279,8 +284,8 @@
         mesh = self._controller.has_mesh()
         if mesh:
             beacon.hears = self._controller.read_hears()
-        for contribute in self._contributors:
-            contribute(beacon)
+        for add_beacon_contributor in self._contributors:
+            add_beacon_contributor(beacon)
         if not mesh:
             self._relayed.send(beacon)
             return
@@ -387,7 +392,7 @@
         while True:
             self._check_awake()
             if clock.now() - self._sent_at >= BEACON_INTERVAL_MS - TICK_MS // 2:
-                self.announce()
+                self.schedule_beacon()
             self.publish()
             tick_ms = TICK_MS
             if not self._controller.has_mesh():
--- a/goldcreststair/components/fleet/keeper.py
+++ b/goldcreststair/components/fleet/session_heartbeat.py
@@ -94,7 +94,7 @@
                 beat = (self._row(TABLE_HEARTBEATS), str(self._heartbeat).encode())
                 written = await store.async_commit(Transaction(puts=(beat,)))
                 if isinstance(written, Ok):
-                    self._controller.note_store()
+                    self._controller.record_store_contact()
             pause_ms = BEACON_INTERVAL_MS
             if self.registered:
                 pause_ms = choose_heartbeat_ms(len(self._core.blackboard.read(FLEET).vms))
@@ -116,7 +116,7 @@
         if isinstance(written, Err):
             _LOGGER.warning("Session not written: %s", written.err_value.message)
             return False
-        self._controller.note_store()
+        self._controller.record_store_contact()
         _LOGGER.info(
             "Session written", extra={"session": self._own.session, "replaced": len(stale)}
         )
@@ -139,7 +139,7 @@
             read = await async_read_parts(self._core.adapter.store, TABLE_HEARTBEATS, parts)
             if isinstance(read, Err):
                 continue
-            self._controller.note_store()
+            self._controller.record_store_contact()
             beats = {row.key.key: row.value for row in read.ok_value.rows}
             self._controller.take_heartbeats(beats, parts)
             await self._async_remove_expired()
--- a/goldcreststair/components/forwarding/request.py
+++ b/goldcreststair/components/forwarding/request.py
@@ -10,7 +10,7 @@
 
 from goldcreststair.components.catalogue.models import CallKind
 from goldcreststair.components.catalogue.regions import find_request_regions
-from goldcreststair.components.crash_marks.service import CRASH_MARKS
+from goldcreststair.components.crash_marks.service import CRASH_TRACKER
 from goldcreststair.components.forwarding.const import (
     CHECK_TIMEOUT_MS,
     MIN_LEFT_MS,
@@ -259,8 +259,8 @@
             self._placement.note_down(entry, error.message, self._request.request_id)
         elif error.failure is UpstreamFailure.LOST and not error.status:
             begun = self._relay.run_events > 0
-            marks = self._core.get(CRASH_MARKS)
-            marks.report_lost(entry, self._admitted.fingerprint, begun=begun)
+            marks = self._core.get(CRASH_TRACKER)
+            marks.report_lost_run(entry, self._admitted.fingerprint, begun=begun)
         elif error.failure is UpstreamFailure.REFUSED:
             self._placement.controller.note_full(entry.name)
 
--- a/goldcreststair/components/forwarding/service.py
+++ b/goldcreststair/components/forwarding/service.py
@@ -12,7 +12,7 @@
     CatalogueCustomer,
     Route,
 )
-from goldcreststair.components.crash_marks.service import CRASH_MARKS
+from goldcreststair.components.crash_marks.service import CRASH_TRACKER
 from goldcreststair.components.fleet.models import OWN_STATE
 from goldcreststair.components.fleet.protocols import FLEET_LINKS
 from goldcreststair.components.forwarding.const import RETRY_NOW_MS, SETTLE_LOOK_MS
@@ -60,7 +60,7 @@
         self._board = core.blackboard
         self._links = core.get(FLEET_LINKS)
         self._quotas = core.get(QUOTAS)
-        self._marks = core.get(CRASH_MARKS)
+        self._marks = core.get(CRASH_TRACKER)
         self._desk = core.get(JOB_DESK)
         self._placement = core.get(PLACEMENT)
         self._durations = RequestDurations(core.clock)
@@ -155,17 +155,17 @@
     def _can_end(self, route: Route, ends_at: Millis) -> bool:
         """Return whether a request that is placed now ends before this daemon does."""
         own = self._board.read(OWN_STATE)
-        if own.ends_at is None or ends_at <= own.ends_at:
+        if own.stops_at is None or ends_at <= own.stops_at:
             return True
         now = self._clock.now()
         read_traits = self._placement.controller.read_traits
         run_ms = max(read_traits(weighted.service).run_ms for weighted in route.services)
         # A request sent away at once is served elsewhere; one that is cut is lost, or run twice. While
         # callers may still be led here, sent away they could come back: then the usual run counts.
-        if own.named_until is None or now >= own.named_until:
+        if own.advertised_until is None or now >= own.advertised_until:
             longest_ms = self._durations.read_longest_ms(route.name)
             # A VM that has just started knows no length: the request may take all of its time.
             if longest_ms is None:
                 return False
             run_ms = max(run_ms, longest_ms)
-        return now + run_ms <= own.ends_at
+        return now + run_ms <= own.stops_at
--- a/goldcreststair/components/jobs/execution.py
+++ b/goldcreststair/components/jobs/execution.py
@@ -11,7 +11,7 @@
 from goldcreststair.clock import Millis
 from goldcreststair.components.catalogue.models import CATALOGUE, Route
 from goldcreststair.components.catalogue.regions import Regions, find_request_regions
-from goldcreststair.components.crash_marks.service import CRASH_MARKS
+from goldcreststair.components.crash_marks.service import CRASH_TRACKER
 from goldcreststair.components.discovery.models import UpstreamEntry
 from goldcreststair.components.jobs.book import (
     ItemProgress,
@@ -192,7 +192,7 @@
         service = choose_service(route, self._core.random.random())
         if service in full:
             return False
-        if self._core.get(CRASH_MARKS).is_refused(_mark_item(job, item)):
+        if self._core.get(CRASH_TRACKER).is_refused(_mark_item(job, item)):
             # It waits until it may be given up: upstreams that it crashes run others' items as well.
             item.not_before = Millis(self._clock.now() + POISON_PAUSE_MS)
             return True
@@ -329,7 +329,7 @@
         elif error.failure is UpstreamFailure.LOST:
             mark = _mark_item(run.job, run.item)
             begun = run.item.last_event > run.first_event
-            self._core.get(CRASH_MARKS).report_lost(run.upstream, mark, begun=begun)
+            self._core.get(CRASH_TRACKER).report_lost_run(run.upstream, mark, begun=begun)
         elif error.failure is UpstreamFailure.REFUSED:
             self._placement.controller.note_full(run.upstream.name)
 
--- a/goldcreststair/components/jobs/remote.py
+++ b/goldcreststair/components/jobs/remote.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from goldcreststair.components.catalogue.regions import Regions
-from goldcreststair.components.fleet.asks import AskKind
+from goldcreststair.components.fleet.peer_requests import PeerRequestKind
 from goldcreststair.components.fleet.protocols import FleetLinks
 from goldcreststair.components.jobs.codec import decode_items, encode_items
 from goldcreststair.components.jobs.errors import JobError, JobProblem
@@ -42,7 +42,7 @@
     @property
     def is_there(self) -> bool:
         """Whether there is a daemon to ask."""
-        return bool(self._links.list_with_store())
+        return bool(self._links.list_with_store_access())
 
     async def async_submit(self, submission: Submission) -> Result[None, JobError]:
         """Have a job accepted."""
@@ -85,11 +85,11 @@
     async def _async_ask(self, call: JobCall, regions: Regions = None) -> Result[Any, JobError]:
         error = JobError("the store answers no daemon that is heard")
         for _ in range(MAX_TRIES):
-            sessions = self._keep_inside(self._links.list_with_store(), regions)
+            sessions = self._keep_inside(self._links.list_with_store_access(), regions)
             if not sessions:
                 break
-            asked = await self._links.async_ask(
-                self._choose(sessions), AskKind.JOB, encode_struct(call), ASK_TIMEOUT_MS
+            asked = await self._links.async_request(
+                self._choose(sessions), PeerRequestKind.JOB, encode_struct(call), ASK_TIMEOUT_MS
             )
             if isinstance(asked, Ok):
                 return _read_reply(asked.ok_value)
--- a/goldcreststair/components/jobs/service.py
+++ b/goldcreststair/components/jobs/service.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from goldcreststair.clock import Millis
-from goldcreststair.components.fleet.asks import AskKind
+from goldcreststair.components.fleet.peer_requests import PeerRequestKind
 from goldcreststair.components.fleet.protocols import FLEET_LINKS, DatagramKind, hash_name
 from goldcreststair.components.jobs.book import ItemProgress, ItemState, JobBook, OwnedJob
 from goldcreststair.components.jobs.checkpoints import CheckpointWriter
@@ -85,10 +85,12 @@
         self._has_jobs = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
         self._changed: dict[JobKey, asyncio.Event] = {}
-        self._links.contribute(self._contribute)
-        self._links.watch(self._on_beacon, self._forget)
-        self._links.on_notice(DatagramKind.JOB_NOTICE, self._on_notice)
-        self._links.on_ask(AskKind.JOB, lambda question: async_answer(self, question))
+        self._links.add_beacon_contributor(self._contribute)
+        self._links.subscribe_beacons(self._on_beacon, self._forget)
+        self._links.register_notice_handler(DatagramKind.JOB_NOTICE, self._on_notice)
+        self._links.register_request_handler(
+            PeerRequestKind.JOB, lambda question: async_answer(self, question)
+        )
         core.on_awake.append(lambda _: self.doubt_all())
 
     async def async_start(self) -> None:
--- a/goldcreststair/components/jobs/sweeping.py
+++ b/goldcreststair/components/jobs/sweeping.py
@@ -101,7 +101,7 @@
     def note_contact(self, *, reached: bool) -> None:
         """Note whether the store answered."""
         if reached:
-            self._links.note_store()
+            self._links.record_store_contact()
 
     def _on_fleet(self, fleet: Fleet) -> None:
         if self._sessions - fleet.vms.keys():
@@ -131,7 +131,7 @@
 
     async def _async_sweep(self) -> None:
         fleet = self._core.blackboard.read(FLEET)
-        if not fleet.known or self._links.is_isolated():
+        if not fleet.loaded or self._links.is_isolated():
             return
         self._sweeps += 1
         for customer in self._find_mine(fleet):
@@ -229,7 +229,7 @@
 def list_able(core: GatewayCore) -> frozenset[str]:
     """Return the sessions that stay and that the store answers: others could read nothing of a job."""
     own = core.session_id
-    able = set(core.get(FLEET_LINKS).list_with_store())
+    able = set(core.get(FLEET_LINKS).list_with_store_access())
     ready = core.blackboard.read(FLEET).states.get(own) is VmState.READY
     if ready and not core.store_contact.is_away():
         able.add(own)
--- a/goldcreststair/components/membership/gossip.py
+++ b/goldcreststair/components/membership/gossip.py
@@ -26,7 +26,7 @@
 from goldcreststair.components.membership.ring import choose_partners
 from goldcreststair.components.membership.shared_sets import Item, SharedSetTable
 from goldcreststair.components.membership.table import MemberTable, Record
-from goldcreststair.components.peers.protocols import PEER_REACH, Endpoint
+from goldcreststair.components.peers.protocols import ENDPOINT_LINKS, Endpoint
 from goldcreststair.core import Core
 from goldcreststair.wire.generated.membership.ttypes import Everything, FetchAll, Gossip
 
@@ -59,7 +59,7 @@
         """Register the messages."""
         self._core = core
         self._state = state
-        self._peers = core.get(PEER_REACH)
+        self._peers = core.get(ENDPOINT_LINKS)
         self._records: dict[str, Record] = {}
         self._items: list[Item] = []
         self._flush: Any = None
--- a/goldcreststair/components/membership/probe.py
+++ b/goldcreststair/components/membership/probe.py
@@ -18,7 +18,7 @@
 from goldcreststair.components.membership.rows import name_row
 from goldcreststair.components.membership.session import is_renewed
 from goldcreststair.components.membership.table import MemberTable
-from goldcreststair.components.peers.protocols import PEER_REACH, Endpoint, PeerMessage
+from goldcreststair.components.peers.protocols import ENDPOINT_LINKS, Endpoint, PeerMessage
 from goldcreststair.core import Core
 from goldcreststair.store.models import Row
 from goldcreststair.wire.generated.membership.ttypes import ProbeAnswer, ProbeAsk
@@ -44,7 +44,7 @@
         self._core = core
         self._table = table
         self._async_expire = async_expire
-        self._peers = core.get(PEER_REACH)
+        self._peers = core.get(ENDPOINT_LINKS)
         self._rounds: dict[str, int] = {}
         self._peers.register(NUMBER_PROBE_ASK, ProbeAsk, self._async_on_ask)
         self._peers.register(NUMBER_PROBE_ANSWER, ProbeAnswer, None)
@@ -98,4 +98,4 @@
         if member is None:
             return self._table.is_gone(session_id)
         endpoint = Endpoint(member.address, member.peer_port, session_id)
-        return await self._peers.async_probe(endpoint)
+        return await self._peers.async_is_gone(endpoint)
--- a/goldcreststair/components/membership/service.py
+++ b/goldcreststair/components/membership/service.py
@@ -24,7 +24,7 @@
 from goldcreststair.components.membership.shared_sets import SharedSetTable
 from goldcreststair.components.membership.table import MemberTable, Record
 from goldcreststair.components.membership.watcher import Watcher
-from goldcreststair.components.peers.protocols import PEER_REACH, Endpoint
+from goldcreststair.components.peers.protocols import ENDPOINT_LINKS, Endpoint
 from goldcreststair.core import Core
 from goldcreststair.online_pressure import ONLINE_PRESSURE
 
@@ -40,7 +40,7 @@
     def __init__(self, core: Core) -> None:
         """Open the sections; they hold only this VM until the store or a peer answers."""
         self._core = core
-        self._peers = core.get(PEER_REACH)
+        self._peers = core.get(ENDPOINT_LINKS)
         self.table = MemberTable(core.clock)
         self.sets = SharedSetTable(core.clock, lambda items: self._gossip.push_items(items))
         self.loads = LoadTable()
@@ -100,7 +100,7 @@
             return False
         # Members that died in a store outage stay listed; links that others opened make up for
         # partners among them.
-        return self._peers.count_heard() * 2 < len(self._gossip.choose_partners())
+        return self._peers.count_reachable() * 2 < len(self._gossip.choose_partners())
 
     def find_slot(self) -> int:
         """Return this VM's slot, or -1 without one that is certainly its own at this moment."""
--- a/goldcreststair/components/metrics/service.py
+++ b/goldcreststair/components/metrics/service.py
@@ -75,7 +75,7 @@
         gauges = {
             "catalogue_version": board.read(CATALOGUE).version,
             "daemons_known": len(fleet.vms),
-            "daemons_heard": fleet.heard,
+            "daemons_heard": fleet.reachable,
             "upstreams": len(board.read(LIVE_UPSTREAMS).by_name),
             "upstreams_down": len(controller.list_down()),
             "upstreams_cold": len(controller.list_cold()),
--- a/goldcreststair/components/operator_rows/service.py
+++ b/goldcreststair/components/operator_rows/service.py
@@ -45,7 +45,7 @@
     def note_contact(self, *, reached: bool) -> None:
         """Note whether the store answered."""
         if reached:
-            self._links.note_store()
+            self._links.record_store_contact()
 
 
 OPERATOR_ROWS: Final = ComponentKey[OperatorRowsService]("operator_rows")
--- a/goldcreststair/components/peers/const.py
+++ b/goldcreststair/components/peers/const.py
@@ -10,5 +10,5 @@
 CONNECT_TIMEOUT_MS: Final = 1000
 MAX_SERVED: Final = 256
 """Requests of one link that may be served at a time; more are refused."""
-SERVED_TO_ANYONE: Final = frozenset((*range(1, 20), 80, 81))
+SERVED_TO_NON_MEMBERS: Final = frozenset((*range(1, 20), 80, 81))
 """Messages of membership and configuration, which make the sender known and bring it up to date."""
--- a/goldcreststair/components/peers/protocols.py
+++ b/goldcreststair/components/peers/protocols.py
@@ -54,7 +54,7 @@
     session_id: str = ""
 
 
-class PeerReach(PeerLinks, Protocol):
+class EndpointLinks(PeerLinks, Protocol):
     """What membership and the configuration ask beyond `PeerLinks`."""
 
     async def async_request_at(
@@ -62,11 +62,11 @@
     ) -> Result[PeerMessage, PeerError]:
         """Send a message to where a daemon listens, known as a member or not."""
 
-    async def async_probe(self, endpoint: Endpoint) -> bool:
+    async def async_is_gone(self, endpoint: Endpoint) -> bool:
         """Return whether a session's process has ended, as far as a connection shows."""
 
-    def count_heard(self) -> int:
+    def count_reachable(self) -> int:
         """Return to how many sessions there is an open link, alive by its heartbeats."""
 
 
-PEER_REACH: Final = ComponentKey[PeerReach]("peer_reach")
+ENDPOINT_LINKS: Final = ComponentKey[EndpointLinks]("peer_reach")
--- a/goldcreststair/components/peers/service.py
+++ b/goldcreststair/components/peers/service.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from goldcreststair.components.membership.models import MEMBERS, Member, Members
-from goldcreststair.components.peers.const import CONNECT_TIMEOUT_MS, SERVED_TO_ANYONE
+from goldcreststair.components.peers.const import CONNECT_TIMEOUT_MS, SERVED_TO_NON_MEMBERS
 from goldcreststair.components.peers.link import Link
 from goldcreststair.components.peers.protocols import Endpoint, Handler, PeerError, PeerMessage
 from goldcreststair.core import Core
@@ -108,11 +108,11 @@
         if isinstance(found, Ok) and not self._closed:
             self._spawn(self._async_post(found.ok_value, message))
 
-    def count_heard(self) -> int:
+    def count_reachable(self) -> int:
         """Return to how many sessions there is an open link, alive by its heartbeats."""
         return sum(link.usable for link in self._links.values())
 
-    async def async_probe(self, endpoint: Endpoint) -> bool:
+    async def async_is_gone(self, endpoint: Endpoint) -> bool:
         """Return whether a session's process has ended, as far as a connection shows."""
         opened = await self._async_find_link(endpoint, CONNECT_TIMEOUT_MS)
         return isinstance(opened, Err) and opened.err_value.gone
@@ -124,7 +124,7 @@
             return None
         # A daemon whose session has expired may still run and believe it owns things; only
         # messages that bring it up to date are served until membership has it back.
-        if envelope.number not in SERVED_TO_ANYONE and not self._is_member(session_id):
+        if envelope.number not in SERVED_TO_NON_MEMBERS and not self._is_member(session_id):
             return None
         decoded = decode_struct(registration.struct, envelope.payload or b"")
         if isinstance(decoded, Err):
--- a/goldcreststair/components/placement/loads.py
+++ b/goldcreststair/components/placement/loads.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from goldcreststair.clock import Clock, Millis
-from goldcreststair.components.fleet.const import RUNS_MS
+from goldcreststair.components.fleet.const import RUNS_VALID_MS
 from goldcreststair.components.fleet.protocols import hash_name
 
 
@@ -76,7 +76,7 @@
 
     def expire(self) -> None:
         """Drop the runs of daemons that have been silent: their streams have ended by now."""
-        horizon = self._clock.now() - RUNS_MS
+        horizon = self._clock.now() - RUNS_VALID_MS
         for session in [name for name, peer in self._peers.items() if peer.at < horizon]:
             self.forget(session)
 
--- a/goldcreststair/components/placement/service.py
+++ b/goldcreststair/components/placement/service.py
@@ -46,10 +46,10 @@
         self._core = core
         self.controller = PlacementController(core.clock, core.random, core.settings.data_centre)
         self._links = core.get(FLEET_LINKS)
-        self._links.contribute(self._contribute)
-        self._links.watch(self._on_beacon, self.controller.runs.forget)
-        self._links.watch_batch(self._on_batch)
-        self._links.on_notice(DatagramKind.YIELD_NOTICE, self._on_yield_notice)
+        self._links.add_beacon_contributor(self._contribute)
+        self._links.subscribe_beacons(self._on_beacon, self.controller.runs.forget)
+        self._links.subscribe_batch_runs(self._on_batch)
+        self._links.register_notice_handler(DatagramKind.YIELD_NOTICE, self._on_yield_notice)
         core.on_awake.append(lambda _: self.controller.cold.void())
         self._on_yield: OnYield = lambda name, count: None
         self._unsubscribe: list[Callable[[], None]] = []
@@ -88,14 +88,14 @@
     def begin(self, name: str, runs: Runs = ONLINE_RUN) -> None:
         """Count a run and let the other daemons know."""
         self.controller.begin(name, runs)
-        self._links.announce()
+        self._links.schedule_beacon()
         if runs.online and not self._give_way(name):
             self._ask_to_yield(name)
 
     def end(self, name: str, runs: Runs = ONLINE_RUN) -> None:
         """Count a run as ended and let the other daemons know."""
         self.controller.end(name, runs)
-        self._links.announce()
+        self._links.schedule_beacon()
 
     def note_down(self, entry: UpstreamEntry, reason: str, subject: str) -> None:
         """Take it that an upstream accepts no connection, or is silent; `subject` met it so."""
@@ -104,7 +104,7 @@
             _LOGGER.warning("Upstream down", extra=extra | {"reason": reason})
         self.controller.note_down(entry.name)
         self._core.runner.pool.forget(entry.address)
-        self._links.announce()
+        self._links.schedule_beacon()
 
     def note_head(self, name: str, head: RunHead) -> None:
         """Take what the head of an answer says of its upstream."""
@@ -132,7 +132,7 @@
         self.controller.take_services(catalogue.services)
 
     def _on_fleet(self, fleet: Fleet) -> None:
-        if fleet.known:
+        if fleet.loaded:
             self.controller.cold.take_sessions(fleet.own_session, fleet.vms.keys() - fleet.lost)
         known = {vm.data_centre: vm.region for vm in fleet.vms.values()}
         self.controller.take_regions(known | self._core.settings.regions)
@@ -180,7 +180,7 @@
         daemon = self.controller.choose_yielder(name)
         if daemon is not None:
             notice = encode_struct(YieldNotice(hash_name(name)))
-            self._links.notify_daemon(daemon, DatagramKind.YIELD_NOTICE, notice)
+            self._links.notify_by_hash(daemon, DatagramKind.YIELD_NOTICE, notice)
 
     def _on_yield_notice(self, _: str, payload: bytes) -> None:
         decoded = decode_struct(YieldNotice, payload)
@@ -205,7 +205,7 @@
         if await pool.async_warm(entry.address, CONNECT_TIMEOUT_MS):
             _LOGGER.info("Upstream up", extra={"upstream": entry.name, "address": entry.address})
             self.controller.note_up(entry.name)
-            self._links.announce()
+            self._links.schedule_beacon()
 
 
 PLACEMENT: Final = ComponentKey[PlacementService]("placement")
--- a/goldcreststair/components/quotas/controller.py
+++ b/goldcreststair/components/quotas/controller.py
@@ -12,7 +12,7 @@
 
 from goldcreststair.clock import Clock, Millis
 from goldcreststair.components.catalogue.models import CatalogueCustomer
-from goldcreststair.components.fleet.const import BEACON_INTERVAL_MS, QUIET_MS
+from goldcreststair.components.fleet.const import BEACON_INTERVAL_MS, UNRESPONSIVE_MS
 from goldcreststair.const import MS_PER_SECOND
 
 START_LEVEL: Final = 20.0
@@ -154,7 +154,7 @@
         now = self._clock.now()
         # What a daemon admitted before it was heard only sets the mark. What it admitted while it was
         # silent is paid from the part that was withheld for it, and would else be paid for twice.
-        fresh = known is not None and now - known.at <= QUIET_MS
+        fresh = known is not None and now - known.at <= UNRESPONSIVE_MS
         before = known.by_customer if known else {}
         for key, count in counts.items():
             bucket = self._buckets.get(key)
@@ -320,6 +320,6 @@
             earned = (now - bucket.at) * customer.rate_per_s / MS_PER_SECOND
             bucket.level = min(customer.burst * part, bucket.level + earned * part)
             bucket.withheld += earned * (1 - part)
-        if self._whole_since is not None and now - self._whole_since > QUIET_MS:
+        if self._whole_since is not None and now - self._whole_since > UNRESPONSIVE_MS:
             bucket.withheld = 0.0
         bucket.at = now
--- a/goldcreststair/components/quotas/service.py
+++ b/goldcreststair/components/quotas/service.py
@@ -25,8 +25,8 @@
         self._core = core
         self._controller = QuotaController(core.clock)
         self._links = core.get(FLEET_LINKS)
-        self._links.contribute(self._contribute)
-        self._links.watch(self._on_beacon, self._controller.forget)
+        self._links.add_beacon_contributor(self._contribute)
+        self._links.subscribe_beacons(self._on_beacon, self._controller.forget)
         core.on_awake.append(lambda _: self._controller.void())
         self._unsubscribe: list[Callable[[], None]] = []
 
@@ -48,10 +48,10 @@
 
     def admit(self, customer: CatalogueCustomer) -> int | None:
         """Count a request; returns None, or after how many ms there will be room."""
-        heard_at = self._links.read_all_heard_at()
+        heard_at = self._links.read_all_seen_since()
         refused = self._controller.admit(customer, hash_name(customer.name), heard_at)
         if refused is None and customer.rate_per_s > 0:
-            self._links.announce()
+            self._links.schedule_beacon()
         return refused
 
     def is_settling(self) -> bool:
@@ -71,8 +71,8 @@
         self._controller.take_customers({hash_name(c.name): c for c in customers})
 
     def _on_fleet(self, fleet: Fleet) -> None:
-        members = len(fleet.vms) - len(fleet.lost) + fleet.strangers
-        self._controller.take_share(FleetShare(fleet.close, members, fleet.agreed))
+        members = len(fleet.vms) - len(fleet.lost) + fleet.unlisted
+        self._controller.take_share(FleetShare(fleet.responsive, members, fleet.agreed))
 
     def _contribute(self, beacon: Beacon) -> None:
         beacon.admitted = [
--- a/goldcreststair/datagrams.py
+++ b/goldcreststair/datagrams.py
@@ -7,14 +7,14 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-OnDatagram = Callable[[bytes, str], None]
+DatagramHandler = Callable[[bytes, str], None]
 """Takes a datagram and the IP number it came from."""
 
 
 class DatagramTransport(Protocol):
     """Sends and receives datagrams, which may be lost, doubled or late."""
 
-    async def async_listen(self, address: str, port: int, on_datagram: OnDatagram) -> int:
+    async def async_listen(self, address: str, port: int, on_datagram: DatagramHandler) -> int:
         """Receive from now on; returns the port really bound."""
 
     def send(self, address: str, port: int, datagram: bytes) -> None:
@@ -25,7 +25,7 @@
 
 
 class _Protocol(asyncio.DatagramProtocol):
-    def __init__(self, on_datagram: OnDatagram) -> None:
+    def __init__(self, on_datagram: DatagramHandler) -> None:
         self._on_datagram = on_datagram
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
@@ -44,7 +44,7 @@
         """Start without a socket."""
         self._transport: asyncio.DatagramTransport | None = None
 
-    async def async_listen(self, address: str, port: int, on_datagram: OnDatagram) -> int:
+    async def async_listen(self, address: str, port: int, on_datagram: DatagramHandler) -> int:
         """Bind and receive."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
--- a/standins/datagrams.py
+++ b/standins/datagrams.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from goldcreststair.clock import Clock
-from goldcreststair.datagrams import OnDatagram
+from goldcreststair.datagrams import DatagramHandler
 
 
 @dataclass(slots=True)
@@ -18,7 +18,7 @@
     """Share of datagrams that never arrive."""
     sent: int = 0
     sent_bytes: int = 0
-    _listeners: dict[tuple[str, int], OnDatagram] = field(default_factory=dict)
+    _listeners: dict[tuple[str, int], DatagramHandler] = field(default_factory=dict)
     _cut: set[frozenset[str]] = field(default_factory=set)
 
     def join(self, address: str) -> "FakeDatagrams":
@@ -33,7 +33,7 @@
         """Lose nothing more."""
         self._cut.clear()
 
-    def listen(self, address: str, port: int, on_datagram: OnDatagram) -> None:
+    def listen(self, address: str, port: int, on_datagram: DatagramHandler) -> None:
         """Receive at an address."""
         self._listeners[(address, port)] = on_datagram
 
@@ -65,7 +65,7 @@
     address: str
     closed: bool = False
 
-    async def async_listen(self, address: str, port: int, on_datagram: OnDatagram) -> int:
+    async def async_listen(self, address: str, port: int, on_datagram: DatagramHandler) -> int:
         """Receive from now on."""
         self.network.listen(self.address, port, on_datagram)
         return port
--- a/tests/components/fleet/test_controller.py
+++ b/tests/components/fleet/test_controller.py
@@ -2,10 +2,10 @@
 
 from goldcreststair.components.fleet.const import (
     EXPIRE_MS,
-    HEARD_MS,
     ISOLATED_MS,
     LOST_MS,
     SETTLE_MS,
+    UNREACHABLE_MS,
 )
 from goldcreststair.components.fleet.controller import FleetController
 from goldcreststair.components.fleet.models import FleetVm, VmState
@@ -38,7 +38,7 @@
 def test_a_daemon_that_falls_silent_gets_no_callers() -> None:
     clock = ManualClock()
     controller = make_controller(clock, "a", "b")
-    clock.advance(HEARD_MS)
+    clock.advance(UNREACHABLE_MS)
     controller.hear("a", VmState.READY)
     clock.advance(1)
     assert [vm.session for vm in controller.read_fleet().list_ready()] == ["a"]
@@ -82,12 +82,12 @@
 def test_a_daemon_that_hears_nobody_is_isolated_before_the_others_take_it_for_lost() -> None:
     clock = ManualClock()
     controller = make_controller(clock, "a")
-    controller.note_store()
+    controller.record_store_contact()
     clock.advance(ISOLATED_MS)
     assert not controller.is_isolated()
     clock.advance(1)
     assert controller.is_isolated() and ISOLATED_MS < LOST_MS
-    controller.note_store()
+    controller.record_store_contact()
     assert not controller.is_isolated()
 
 
@@ -107,7 +107,7 @@
     controller.void()
     controller.take_heartbeats({"a": b"1"})
     assert controller.list_expired() == [] and controller.read_fleet().lost == frozenset()
-    assert controller.read_fleet().heard == 1
+    assert controller.read_fleet().reachable == 1
 
 
 def test_daemons_that_hear_different_ones_do_not_agree_for_long() -> None:
@@ -136,9 +136,9 @@
     clock = ManualClock()
     controller = make_controller(clock, "a")
     assert not controller.hear("new", VmState.READY)
-    assert controller.read_fleet().strangers == 1
+    assert controller.read_fleet().unlisted == 1
     controller.add(make_vm("new"))
-    assert controller.read_fleet().strangers == 0
+    assert controller.read_fleet().unlisted == 0
     controller.hear("other", VmState.READY)
-    clock.advance(HEARD_MS + 1)
-    assert controller.read_fleet().strangers == 0
+    clock.advance(UNREACHABLE_MS + 1)
+    assert controller.read_fleet().unlisted == 0
--- a/tests/components/fleet/test_large_fleet.py
+++ b/tests/components/fleet/test_large_fleet.py
@@ -21,10 +21,10 @@
         heard = []
         for _ in range(30):
             await fleet.clock.async_sleep(100)
-            heard += [member.read(FLEET).heard for member in members]
+            heard += [member.read(FLEET).reachable for member in members]
         assert min(heard) == VMS
         seen = members[0].read(FLEET)
-        assert FleetShare(seen.close, len(seen.vms)).fraction == 1
+        assert FleetShare(seen.responsive, len(seen.vms)).fraction == 1
 
     run_fleet(scenario)
 
@@ -38,6 +38,6 @@
         lost = members[-1]
         await fleet.async_kill(lost)
         await fleet.clock.async_sleep(2_400)
-        assert all(member.read(FLEET).heard == VMS - 1 for member in members[:-1])
+        assert all(member.read(FLEET).reachable == VMS - 1 for member in members[:-1])
 
     run_fleet(scenario)
--- a/tests/components/fleet/test_relayed_fleet.py
+++ b/tests/components/fleet/test_relayed_fleet.py
@@ -5,9 +5,9 @@
 from goldcreststair.components.catalogue.models import CATALOGUE, CatalogueCustomer
 from goldcreststair.components.fleet.const import (
     EXPIRE_MS,
-    HEARD_MS,
     HEARTBEAT_READ_MS,
     TABLE_HEARTBEATS,
+    UNREACHABLE_MS,
 )
 from goldcreststair.components.fleet.models import FLEET
 from goldcreststair.components.fleet.protocols import FLEET_LINKS, hash_name
@@ -65,7 +65,7 @@
         before = fleet.datagrams.sent
         await fleet.clock.async_sleep(2_000)
         assert (fleet.datagrams.sent - before) / 2 / count < 20
-        assert all(member.read(FLEET).heard == count for member in members)
+        assert all(member.read(FLEET).reachable == count for member in members)
 
     run_fleet(scenario)
 
@@ -132,9 +132,9 @@
         least = VMS
         for _ in range(40):
             await fleet.clock.async_sleep(100)
-            least = min(least, *(member.read(FLEET).heard for member in kept))
+            least = min(least, *(member.read(FLEET).reachable for member in kept))
         assert least >= VMS - lost
-        assert {member.read(FLEET).heard for member in kept} == {VMS - lost}
+        assert {member.read(FLEET).reachable for member in kept} == {VMS - lost}
         kept[0].core.get(PLACEMENT).begin("e0")
         await fleet.clock.async_sleep(NEWS_MS)
         assert {read_online(member) for member in kept} == {1}
@@ -186,8 +186,8 @@
         lone.datagrams.closed = True
         await fleet.clock.async_sleep(2_500)
         seen = lone.read(FLEET)
-        assert seen.close == 1
-        others = [member.read(FLEET).heard for member in members if member is not lone]
+        assert seen.responsive == 1
+        others = [member.read(FLEET).reachable for member in members if member is not lone]
         assert set(others) == {VMS - 1}
 
     run_fleet(scenario)
@@ -206,7 +206,7 @@
         await fleet.async_kill(gone)
         before = fleet.store.reads[TABLE_HEARTBEATS]
         # Its silence counts from the first reading of its heartbeat on.
-        await fleet.clock.async_sleep(HEARD_MS + HEARTBEAT_READ_MS + ADOPT_MS + NEWS_MS)
+        await fleet.clock.async_sleep(UNREACHABLE_MS + HEARTBEAT_READ_MS + ADOPT_MS + NEWS_MS)
         links = [member.core.get(FLEET_LINKS) for member in kept]
         assert all(each.is_lost(session, ADOPT_MS) for each in links)
         assert fleet.store.reads[TABLE_HEARTBEATS] - before < 100
@@ -259,6 +259,6 @@
         target = members[0].core.settings
         members[1].datagrams.send(target.address, target.peer_port, datagram)
         await fleet.clock.async_sleep(NEWS_MS)
-        assert members[0].read(FLEET).heard == 30
+        assert members[0].read(FLEET).reachable == 30
 
     run_fleet(scenario)
--- a/tests/components/fleet/test_return.py
+++ b/tests/components/fleet/test_return.py
@@ -53,6 +53,6 @@
         began = fleet.clock.now()
         while fleet.clock.now() < began + FOUND_MS:
             await fleet.clock.async_sleep(look_ms)
-        assert {member.read(FLEET).heard for member in fleet.members} == {78}
+        assert {member.read(FLEET).reachable for member in fleet.members} == {78}
 
     run_fleet(scenario)
--- a/tests/components/peers/test_service.py
+++ b/tests/components/peers/test_service.py
@@ -227,9 +227,9 @@
         network = FakeNetwork(LoopClock())
         left, right = await async_make_pair(network)
         assert isinstance(await async_ask(left, "b"), Ok)
-        assert left.peers.count_heard() == 1
+        assert left.peers.count_reachable() == 1
         await asyncio.sleep(2 * IDLE_MS / 1000)
-        assert left.peers.count_heard() == 0
+        assert left.peers.count_reachable() == 0
         assert not left.peers._all_links
         assert not right.peers._all_links
         await asyncio.gather(left.peers.async_close(), right.peers.async_close())
--- a/tests/components/quotas/test_controller.py
+++ b/tests/components/quotas/test_controller.py
@@ -3,7 +3,7 @@
 import pytest
 
 from goldcreststair.components.catalogue.models import CatalogueCustomer
-from goldcreststair.components.fleet.const import QUIET_MS
+from goldcreststair.components.fleet.const import UNRESPONSIVE_MS
 from goldcreststair.components.quotas.controller import (
     AdmittedCount,
     FleetShare,
@@ -75,7 +75,7 @@
     clock = ManualClock()
     controller = make_controller(clock)
     controller.take_counts("other", {KEY: AdmittedCount(100)})
-    clock.advance(QUIET_MS + 1)
+    clock.advance(UNRESPONSIVE_MS + 1)
     controller.take_share(FleetShare(heard=1, members=2))
     clock.advance(600)
     controller.take_counts("other", {KEY: AdmittedCount(125)})
