--- a/goldcreststair/components/forwarding/service.py
+++ b/goldcreststair/components/forwarding/service.py
@@ -12,7 +12,7 @@
     CatalogueCustomer,
     Route,
 )
-from goldcreststair.components.crash_marks.service import CRASH_MARKS
+from goldcreststair.components.crash_marks.service import CRASH_TRACKER
 from goldcreststair.components.fleet.models import OWN_STATE
 from goldcreststair.components.fleet.protocols import FLEET_LINKS
 from goldcreststair.components.forwarding.const import MIN_RETRY_AFTER_MS, SETTLE_POLL_MS
@@ -60,7 +60,7 @@
         self._board = core.blackboard
         self._links = core.get(FLEET_LINKS)
         self._quotas = core.get(QUOTAS)
-        self._crash_marks = core.get(CRASH_MARKS)
+        self._crash_marks = core.get(CRASH_TRACKER)
         self._job_api = core.get(JOB_DESK)
         self._placement = core.get(PLACEMENT)
         self._durations = RequestDurations(core.clock)
@@ -158,7 +158,7 @@
     def _can_finish(self, route: Route, ends_at: Millis) -> bool:
         """Return whether a request that starts now ends before this daemon shuts down."""
         own = self._board.read(OWN_STATE)
-        if own.ends_at is None or ends_at <= own.ends_at:
+        if own.stops_at is None or ends_at <= own.stops_at:
             return True
         now = self._clock.now()
         read_run_times = self._placement.controller.read_run_times
@@ -166,10 +166,10 @@
         # A request refused at once is served elsewhere; one that is cut is lost or runs twice. While
         # address lookups may still return this VM, refused callers could be sent here again, so the
         # usual run time decides; afterwards the longest recent duration counts as well.
-        if own.named_until is None or now >= own.named_until:
+        if own.advertised_until is None or now >= own.advertised_until:
             longest_ms = self._durations.read_longest_ms(route.name)
             # A VM that has just started knows no duration: the request may take until its deadline.
             if longest_ms is None:
                 return False
             run_ms = max(run_ms, longest_ms)
-        return now + run_ms <= own.ends_at
+        return now + run_ms <= own.stops_at
--- a/goldcreststair/components/placement/service.py
+++ b/goldcreststair/components/placement/service.py
@@ -47,10 +47,10 @@
         self._core = core
         self.controller = PlacementController(core.clock, core.random, core.settings.data_centre)
         self._links = core.get(FLEET_LINKS)
-        self._links.contribute(self._contribute)
-        self._links.watch(self._on_beacon, self.controller.runs.forget)
-        self._links.watch_batch(self._on_batch)
-        self._links.on_notice(DatagramKind.YIELD_NOTICE, self._on_preempt_notice)
+        self._links.add_beacon_contributor(self._contribute)
+        self._links.subscribe_beacons(self._on_beacon, self.controller.runs.forget)
+        self._links.subscribe_batch_runs(self._on_batch)
+        self._links.register_notice_handler(DatagramKind.YIELD_NOTICE, self._on_preempt_notice)
         core.on_process_resumed.append(lambda _: self.controller.cold_limiter.reset_after_pause())
         self._preempt_handler: OnPreempt = lambda name, count: None
         self._unsubscribe: list[Callable[[], None]] = []
@@ -89,14 +89,14 @@
     def begin(self, name: str, runs: Runs = ONLINE_RUN) -> None:
         """Record that a run begins, announce it, and preempt batch runs if needed."""
         self.controller.begin(name, runs)
-        self._links.announce()
+        self._links.schedule_beacon()
         if runs.online and not self._preempt_own(name):
             self._request_preemption(name)
 
     def end(self, name: str, runs: Runs = ONLINE_RUN) -> None:
         """Record that a run has ended, and announce it to the other daemons."""
         self.controller.end(name, runs)
-        self._links.announce()
+        self._links.schedule_beacon()
 
     def mark_down(self, entry: UpstreamEntry, reason: str, subject: str) -> None:
         """Mark an upstream as down: it refused a connection or is silent.
@@ -108,7 +108,7 @@
             _LOGGER.warning("Upstream down", extra=extra | {"reason": reason})
         self.controller.mark_down(entry.name)
         self._core.runner.pool.close_idle(entry.address)
-        self._links.announce()
+        self._links.schedule_beacon()
 
     def record_head(self, name: str, head: RunHead) -> None:
         """Record progress, and the cold state reported in the head of an answer."""
@@ -136,7 +136,7 @@
         self.controller.apply_services(catalogue.services)
 
     def _on_fleet(self, fleet: Fleet) -> None:
-        if fleet.known:
+        if fleet.loaded:
             self.controller.cold_limiter.apply_sessions(
                 fleet.own_session, fleet.vms.keys() - fleet.lost
             )
@@ -186,7 +186,7 @@
         daemon = self.controller.choose_daemon_to_preempt(name)
         if daemon is not None:
             notice = encode_struct(YieldNotice(hash_name(name)))
-            self._links.notify_daemon(daemon, DatagramKind.YIELD_NOTICE, notice)
+            self._links.notify_by_hash(daemon, DatagramKind.YIELD_NOTICE, notice)
 
     def _on_preempt_notice(self, _: str, payload: bytes) -> None:
         decoded = decode_struct(YieldNotice, payload)
@@ -211,7 +211,7 @@
         if await pool.async_warm(entry.address, CONNECT_TIMEOUT_MS):
             _LOGGER.info("Upstream up", extra={"upstream": entry.name, "address": entry.address})
             self.controller.mark_up(entry.name)
-            self._links.announce()
+            self._links.schedule_beacon()
 
 
 PLACEMENT: Final = ComponentKey[PlacementService]("placement")
--- a/goldcreststair/components/quotas/controller.py
+++ b/goldcreststair/components/quotas/controller.py
@@ -13,7 +13,7 @@
 
 from goldcreststair.clock import Clock, Millis
 from goldcreststair.components.catalogue.models import CatalogueCustomer
-from goldcreststair.components.fleet.const import BEACON_INTERVAL_MS, QUIET_MS
+from goldcreststair.components.fleet.const import BEACON_INTERVAL_MS, UNRESPONSIVE_MS
 from goldcreststair.const import MS_PER_SECOND
 
 START_LEVEL: Final = 20.0
@@ -158,7 +158,7 @@
         now = self._clock.now()
         # The first report of a daemon only sets the baseline. What a daemon admitted while it was
         # unreachable is charged to the tokens withheld for it; otherwise it would be charged twice.
-        continuous = known is not None and now - known.at <= QUIET_MS
+        continuous = known is not None and now - known.at <= UNRESPONSIVE_MS
         before = known.by_customer if known else {}
         for key, count in counts.items():
             bucket = self._buckets.get(key)
@@ -330,6 +330,6 @@
             earned = (now - bucket.at) * customer.rate_per_s / MS_PER_SECOND
             bucket.level = min(customer.burst * fraction, bucket.level + earned * fraction)
             bucket.withheld += earned * (1 - fraction)
-        if self._all_reachable_since is not None and now - self._all_reachable_since > QUIET_MS:
+        if self._all_reachable_since is not None and now - self._all_reachable_since > UNRESPONSIVE_MS:
             bucket.withheld = 0.0
         bucket.at = now
--- a/goldcreststair/components/quotas/service.py
+++ b/goldcreststair/components/quotas/service.py
@@ -25,8 +25,8 @@
         self._core = core
         self._controller = QuotaController(core.clock)
         self._links = core.get(FLEET_LINKS)
-        self._links.contribute(self._contribute)
-        self._links.watch(self._on_beacon, self._controller.forget)
+        self._links.add_beacon_contributor(self._contribute)
+        self._links.subscribe_beacons(self._on_beacon, self._controller.forget)
         core.on_process_resumed.append(lambda _: self._controller.reset_after_pause())
         self._unsubscribe: list[Callable[[], None]] = []
 
@@ -48,10 +48,10 @@
 
     def admit(self, customer: CatalogueCustomer) -> int | None:
         """Admit and count a request, or return the ms after which it can be admitted."""
-        seen_since = self._links.read_all_heard_at()
+        seen_since = self._links.read_all_seen_since()
         retry_after_ms = self._controller.admit(customer, hash_name(customer.name), seen_since)
         if retry_after_ms is None and customer.rate_per_s > 0:
-            self._links.announce()
+            self._links.schedule_beacon()
         return retry_after_ms
 
     def is_settling(self) -> bool:
@@ -71,8 +71,8 @@
         self._controller.apply_customers({hash_name(c.name): c for c in customers})
 
     def _on_fleet(self, fleet: Fleet) -> None:
-        members = len(fleet.vms) - len(fleet.lost) + fleet.strangers
-        self._controller.apply_share(FleetShare(fleet.close, members, fleet.agreed))
+        members = len(fleet.vms) - len(fleet.lost) + fleet.unlisted
+        self._controller.apply_share(FleetShare(fleet.responsive, members, fleet.agreed))
 
     def _contribute(self, beacon: Beacon) -> None:
         beacon.admitted = [
