--- a/goldcreststair/components/forwarding/service.py
+++ b/goldcreststair/components/forwarding/service.py
@@ -21,7 +21,7 @@
 from goldcreststair.components.forwarding.refusals import log_refusal, refuse_for_now
 from goldcreststair.components.forwarding.request import ForwardedRequest, ForwardingTools
 from goldcreststair.components.forwarding.watch import SilenceWatcher
-from goldcreststair.components.jobs.desk import JOB_DESK
+from goldcreststair.components.jobs.api import JOB_DESK
 from goldcreststair.components.placement.service import PLACEMENT
 from goldcreststair.components.quotas.service import QUOTAS
 from goldcreststair.components.requests.admission import (
--- a/goldcreststair/components/jobs/__init__.py
+++ b/goldcreststair/components/jobs/__init__.py
@@ -4,10 +4,10 @@
 
 from goldcreststair.components.entry.service import ENTRY
 from goldcreststair.components.fleet.protocols import FLEET_LINKS
-from goldcreststair.components.jobs.desk import JOB_DESK, JobDesk
-from goldcreststair.components.jobs.front import JobFront
+from goldcreststair.components.jobs.api import JOB_DESK, JobDesk
 from goldcreststair.components.jobs.protocols import JOB_FRONT, JOBS
 from goldcreststair.components.jobs.remote import RemoteJobs
+from goldcreststair.components.jobs.router import JobFront
 from goldcreststair.components.jobs.service import JobService
 from goldcreststair.components.jobs.sweeping import keep_inside
 from goldcreststair.core import Component
--- a/goldcreststair/components/jobs/checkpoints.py
+++ b/goldcreststair/components/jobs/checkpoints.py
@@ -14,7 +14,6 @@
 from result import Ok
 
 from goldcreststair.components.fleet.models import FLEET
-from goldcreststair.components.jobs.book import ItemProgress, ItemState, JobBook, OwnedJob
 from goldcreststair.components.jobs.const import (
     CHECKPOINT_EVENTS,
     CHECKPOINT_GROWTH,
@@ -24,9 +23,10 @@
     MAX_COMMIT_ENTRIES,
     TEXT_PART_BYTES,
 )
-from goldcreststair.components.jobs.lister import JobLister
 from goldcreststair.components.jobs.models import SavedProgress
 from goldcreststair.components.jobs.records import JobRecords
+from goldcreststair.components.jobs.registry import ItemProgress, ItemState, JobBook, OwnedJob
+from goldcreststair.components.jobs.result_writer import JobLister
 from goldcreststair.const import MS_PER_SECOND
 from goldcreststair.gateway_core import GatewayCore
 from goldcreststair.store.rows import RowsConflict
--- a/goldcreststair/components/jobs/estimate.py
+++ b/goldcreststair/components/jobs/estimate.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from goldcreststair.components.jobs.book import ItemProgress
+from goldcreststair.components.jobs.registry import ItemProgress
 
 DEFAULT_EVENT_MS: Final = 30.0
 """Time between two events, until runs have been seen."""
--- a/goldcreststair/components/jobs/execution.py
+++ b/goldcreststair/components/jobs/execution.py
@@ -13,14 +13,6 @@
 from goldcreststair.components.catalogue.regions import Regions, find_request_regions
 from goldcreststair.components.crash_marks.service import CRASH_MARKS
 from goldcreststair.components.discovery.models import UpstreamEntry
-from goldcreststair.components.jobs.book import (
-    ItemProgress,
-    ItemState,
-    JobBook,
-    OwnedJob,
-    RankedItem,
-    choose_yielding,
-)
 from goldcreststair.components.jobs.const import (
     GIVE_UP_MARGIN_MS,
     LATE_FREE_SHARE,
@@ -30,9 +22,17 @@
     STARTS_PER_TICK,
 )
 from goldcreststair.components.jobs.estimate import WorkEstimate
-from goldcreststair.components.jobs.lister import JobLister
 from goldcreststair.components.jobs.models import ItemResult, JobKey, JobRecord
 from goldcreststair.components.jobs.outcome import Verdict, choose_pause, count_silent, judge_run
+from goldcreststair.components.jobs.registry import (
+    ItemProgress,
+    ItemState,
+    JobBook,
+    OwnedJob,
+    RankedItem,
+    choose_yielding,
+)
+from goldcreststair.components.jobs.result_writer import JobLister
 from goldcreststair.components.jobs.runner import ItemSink, async_run_item
 from goldcreststair.components.placement.loads import Runs
 from goldcreststair.components.placement.service import PLACEMENT
--- a/goldcreststair/components/jobs/handover.py
+++ b/goldcreststair/components/jobs/handover.py
@@ -10,12 +10,12 @@
 
 from result import Err
 
-from goldcreststair.components.jobs.book import JobBook, OwnedJob
 from goldcreststair.components.jobs.checkpoints import list_unsaved
 from goldcreststair.components.jobs.const import HAND_OVER_MS, TICK_MS
 from goldcreststair.components.jobs.errors import JobLost
-from goldcreststair.components.jobs.lister import JobLister
 from goldcreststair.components.jobs.records import JobRecords
+from goldcreststair.components.jobs.registry import JobBook, OwnedJob
+from goldcreststair.components.jobs.result_writer import JobLister
 from goldcreststair.components.jobs.sweeping import choose_owner
 from goldcreststair.gateway_core import GatewayCore
 
--- a/goldcreststair/components/jobs/lister.py
+++ b/goldcreststair/components/jobs/result_writer.py
@@ -6,7 +6,6 @@
 
 from result import Err, Ok
 
-from goldcreststair.components.jobs.book import ItemState, OwnedJob
 from goldcreststair.components.jobs.const import (
     COMMIT_RETRY_MS,
     MAX_COMMIT_BYTES,
@@ -17,6 +16,7 @@
 from goldcreststair.components.jobs.errors import JobLost
 from goldcreststair.components.jobs.models import ItemResult
 from goldcreststair.components.jobs.records import JobRecords, Listing
+from goldcreststair.components.jobs.registry import ItemState, OwnedJob
 from goldcreststair.gateway_core import GatewayCore
 
 _LOGGER = logging.getLogger(__name__)
--- a/goldcreststair/components/jobs/runner.py
+++ b/goldcreststair/components/jobs/runner.py
@@ -6,8 +6,8 @@
 from result import Err, Ok, Result
 
 from goldcreststair.clock import Clock, Millis
-from goldcreststair.components.jobs.book import ItemProgress
 from goldcreststair.components.jobs.const import FIRST_MS, GAP_MS, MAX_PATIENCE_DOUBLINGS
+from goldcreststair.components.jobs.registry import ItemProgress
 from goldcreststair.const import MS_PER_SECOND
 from goldcreststair.upstreams.dialect import RunCall, RunHead
 from goldcreststair.upstreams.errors import UpstreamError, UpstreamFailure
--- a/goldcreststair/components/jobs/service.py
+++ b/goldcreststair/components/jobs/service.py
@@ -10,7 +10,6 @@
 from goldcreststair.clock import Millis
 from goldcreststair.components.fleet.asks import AskKind
 from goldcreststair.components.fleet.protocols import FLEET_LINKS, DatagramKind, hash_name
-from goldcreststair.components.jobs.book import ItemProgress, ItemState, JobBook, OwnedJob
 from goldcreststair.components.jobs.checkpoints import CheckpointWriter
 from goldcreststair.components.jobs.codec import decode_items
 from goldcreststair.components.jobs.const import (
@@ -23,7 +22,6 @@
 from goldcreststair.components.jobs.estimate import Pace, WorkEstimate
 from goldcreststair.components.jobs.execution import ItemExecutor
 from goldcreststair.components.jobs.handover import JobHandover
-from goldcreststair.components.jobs.lister import JobLister
 from goldcreststair.components.jobs.models import (
     ItemResult,
     JobItem,
@@ -36,7 +34,9 @@
 )
 from goldcreststair.components.jobs.reading import JobReader, cut_page
 from goldcreststair.components.jobs.records import JobRecords
+from goldcreststair.components.jobs.registry import ItemProgress, ItemState, JobBook, OwnedJob
 from goldcreststair.components.jobs.remote import async_answer
+from goldcreststair.components.jobs.result_writer import JobLister
 from goldcreststair.components.jobs.sweeping import JobSweeper
 from goldcreststair.gateway_core import GatewayCore
 from goldcreststair.wire.codec import decode_struct, encode_struct
--- a/goldcreststair/components/jobs/sweeping.py
+++ b/goldcreststair/components/jobs/sweeping.py
@@ -21,7 +21,7 @@
 )
 from goldcreststair.components.jobs.models import JobKey, OpenJob
 from goldcreststair.components.jobs.records import JobRecords
-from goldcreststair.components.jobs.wards import Wards
+from goldcreststair.components.jobs.sweep_assignments import Wards
 from goldcreststair.const import MS_PER_SECOND
 from goldcreststair.gateway_core import GatewayCore
 from goldcreststair.helpers.rendezvous import score
--- a/standins/measure/overload_policies.py
+++ b/standins/measure/overload_policies.py
@@ -8,10 +8,10 @@
 
 from goldcreststair.components.forwarding import watch
 from goldcreststair.components.jobs import (
-    book,
     checkpoints,
     execution,
     handover,
+    registry,
     runner,
     sweeping,
 )
@@ -43,7 +43,7 @@
 )
 
 
-def rank_by_arrival(ranked: book.RankedItem) -> tuple[int, int]:
+def rank_by_arrival(ranked: registry.RankedItem) -> tuple[int, int]:
     """Rank an item by when its job came; all jobs have the same time."""
     return ranked.job.due_at, ranked.item.number
 
@@ -69,7 +69,7 @@
 
 FIRST_COME: Final = (
     Switch("late items last", execution, "LATE_FREE_SHARE", -1.0),
-    Switch("order of items", book, "_rank", rank_by_arrival),
+    Switch("order of items", registry, "_rank", rank_by_arrival),
     Switch("batch stays out of bursts", controller, "BATCH_FREE_SHARE", 0.0),
     Switch("slots kept from batch", controller, "BATCH_RESERVE", -QUEUED_ITEMS),
     Switch("giving way", controller.PlacementController, "count_yielding", yield_none),
--- a/tests/components/jobs/test_checkpoints.py
+++ b/tests/components/jobs/test_checkpoints.py
@@ -3,10 +3,10 @@
 import pytest
 
 from goldcreststair.clock import Millis
-from goldcreststair.components.jobs.book import ItemProgress, ItemState, OwnedJob
 from goldcreststair.components.jobs.checkpoints import list_unsaved
 from goldcreststair.components.jobs.const import TEXT_PART_BYTES
 from goldcreststair.components.jobs.models import JobItem, JobKey, JobRecord, OpenJob
+from goldcreststair.components.jobs.registry import ItemProgress, ItemState, OwnedJob
 
 
 def make_job(item: ItemProgress) -> OwnedJob:
--- a/tests/components/jobs/test_estimate.py
+++ b/tests/components/jobs/test_estimate.py
@@ -4,10 +4,10 @@
 
 from goldcreststair.clock import Millis
 from goldcreststair.components.fleet.protocols import hash_name
-from goldcreststair.components.jobs.book import ItemProgress, is_hopeless
 from goldcreststair.components.jobs.estimate import START_MS, Pace, WorkEstimate
 from goldcreststair.components.jobs.models import JobItem
 from goldcreststair.components.jobs.protocols import JOBS
+from goldcreststair.components.jobs.registry import ItemProgress, is_hopeless
 from goldcreststair.components.jobs.service import JobService
 from standins.gateways import GatewayFleet
 from tests.components.jobs.test_execution import make_job
--- a/tests/components/jobs/test_execution.py
+++ b/tests/components/jobs/test_execution.py
@@ -8,13 +8,13 @@
 
 from goldcreststair.clock import Millis
 from goldcreststair.components.fleet.protocols import hash_name
-from goldcreststair.components.jobs.book import (
+from goldcreststair.components.jobs.models import JobItem, JobKey, JobRecord, OpenJob
+from goldcreststair.components.jobs.registry import (
     ItemProgress,
     JobBook,
     OwnedJob,
     choose_yielding,
 )
-from goldcreststair.components.jobs.models import JobItem, JobKey, JobRecord, OpenJob
 from goldcreststair.components.placement.service import PLACEMENT
 from goldcreststair.upstreams.dialect import RunCall
 from goldcreststair.upstreams.errors import UpstreamError
--- a/tests/components/jobs/test_lister.py
+++ b/tests/components/jobs/test_result_writer.py
@@ -5,10 +5,10 @@
 
 from result import Ok
 
-from goldcreststair.components.jobs.book import ItemState, OwnedJob
-from goldcreststair.components.jobs.lister import JobLister
 from goldcreststair.components.jobs.models import ItemResult
 from goldcreststair.components.jobs.records import JobRecords, Listing
+from goldcreststair.components.jobs.registry import ItemState, OwnedJob
+from goldcreststair.components.jobs.result_writer import JobLister
 from standins.gateways import GatewayFleet
 from tests.components.jobs.test_execution import make_job
 from tests.helpers.gateways import run_fleet
--- a/tests/components/jobs/test_wards.py
+++ b/tests/components/jobs/test_sweep_assignments.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from goldcreststair.components.jobs import wards
-from goldcreststair.components.jobs.wards import Wards
+from goldcreststair.components.jobs import sweep_assignments
+from goldcreststair.components.jobs.sweep_assignments import Wards
 from goldcreststair.helpers.rendezvous import score
 
 SESSIONS = [f"session{number}" for number in range(60)]
@@ -47,7 +47,7 @@
         ranked += 1
         return score(*parts)
 
-    monkeypatch.setattr(wards, "score", count)
+    monkeypatch.setattr(sweep_assignments, "score", count)
     found = Wards()
     found.update(set(SESSIONS[:50]), CUSTOMERS)
     first, ranked = ranked, 0
