--- a/goldcreststair/components/forwarding/service.py
+++ b/goldcreststair/components/forwarding/service.py
@@ -21,7 +21,7 @@
 from goldcreststair.components.forwarding.refusals import log_refusal, refuse_for_now
 from goldcreststair.components.forwarding.request import ForwardedRequest, ForwardingTools
 from goldcreststair.components.forwarding.watch import SilenceWatcher
-from goldcreststair.components.jobs.api import JOB_DESK
+from goldcreststair.components.jobs.api import JOB_API
 from goldcreststair.components.placement.service import PLACEMENT
 from goldcreststair.components.quotas.service import QUOTAS
 from goldcreststair.components.requests.admission import (
@@ -61,7 +61,7 @@
         self._links = core.get(FLEET_LINKS)
         self._quotas = core.get(QUOTAS)
         self._marks = core.get(CRASH_MARKS)
-        self._desk = core.get(JOB_DESK)
+        self._desk = core.get(JOB_API)
         self._placement = core.get(PLACEMENT)
         self._durations = RequestDurations(core.clock)
         self.budget = RetryBudget()
--- a/goldcreststair/components/jobs/api.py
+++ b/goldcreststair/components/jobs/api.py
@@ -9,7 +9,7 @@
 from goldcreststair.components.fleet.protocols import FLEET_LINKS
 from goldcreststair.components.jobs.errors import JobError, JobProblem
 from goldcreststair.components.jobs.models import JobKey, ResultPage, Submission
-from goldcreststair.components.jobs.protocols import JOB_FRONT
+from goldcreststair.components.jobs.protocols import JOB_ROUTER
 from goldcreststair.components.requests.admission import identify_customer
 from goldcreststair.components.requests.const import READY_RETRY_MS
 from goldcreststair.components.requests.models import AdmittedRequest
@@ -39,13 +39,13 @@
     return Refusal(message, code, not_run=not_run, retry_after_ms=retry_ms)
 
 
-class JobDesk:
+class JobApi:
     """Serves callers' calls about jobs."""
 
     def __init__(self, core: GatewayCore) -> None:
         """Use the jobs of this daemon."""
         self._core = core
-        self._jobs = core.get(JOB_FRONT)
+        self._jobs = core.get(JOB_ROUTER)
         self._links = core.get(FLEET_LINKS)
 
     async def async_submit(self, admitted: AdmittedRequest) -> Result[None, Refusal]:
@@ -97,4 +97,4 @@
         return Ok(None) if isinstance(ended, Ok) else Err(refuse_job(ended.err_value))
 
 
-JOB_DESK: Final = ComponentKey[JobDesk]("job_desk")
+JOB_API: Final = ComponentKey[JobApi]("job_api")
--- a/goldcreststair/components/jobs/const.py
+++ b/goldcreststair/components/jobs/const.py
@@ -56,14 +56,14 @@
 CHECKPOINT_GROWTH: Final = 1.2
 """An answer is saved again once it has grown by so much, so that the bytes written for a long one stay
 within a few times its length."""
-HAND_OVER_MS: Final = 800
+HANDOVER_GRACE_MS: Final = 800
 """A leaving daemon's runs may end for so long before their jobs go to another one with what they have
 brought: a run that moves loses some 150 ms, and a job that stays keeps its waiting items from starting."""
 
 LEASE_MS: Final = 1_500
 """An owner that has heard neither store nor peers for so long answers readers from the store only:
 another daemon may have taken its jobs over and listed more."""
-ADOPT_MS: Final = 3_500
+TAKEOVER_AFTER_MS: Final = 3_500
 """A job whose owner shows no sign of life for so long gets another one. Longer than `LEASE_MS`;
 taken over too early, its items run twice."""
 SWEEP_MS: Final = 1_500
--- a/goldcreststair/components/jobs/handover.py
+++ b/goldcreststair/components/jobs/handover.py
@@ -11,7 +11,7 @@
 from result import Err
 
 from goldcreststair.components.jobs.checkpoints import list_unsaved
-from goldcreststair.components.jobs.const import HAND_OVER_MS, TICK_MS
+from goldcreststair.components.jobs.const import HANDOVER_GRACE_MS, TICK_MS
 from goldcreststair.components.jobs.errors import JobLost
 from goldcreststair.components.jobs.records import JobRecords
 from goldcreststair.components.jobs.registry import JobBook, OwnedJob
@@ -62,7 +62,7 @@
         began_at = clock.now()
         # Jobs that were being accepted or taken over when the leave began arrive after it.
         while True:
-            waited = clock.now() - began_at >= HAND_OVER_MS
+            waited = clock.now() - began_at >= HANDOVER_GRACE_MS
             for job in tuple(self._book.jobs.values()):
                 if self._lister.is_idle(job) and (waited or self._giver.is_idle(job)):
                     await self._async_give(job)
--- a/goldcreststair/components/jobs/protocols.py
+++ b/goldcreststair/components/jobs/protocols.py
@@ -58,5 +58,5 @@
 
 
 JOBS: Final = ComponentKey[LocalJobs]("jobs")
-JOB_FRONT: Final = ComponentKey[Jobs]("job_front")
+JOB_ROUTER: Final = ComponentKey[Jobs]("job_router")
 """The way for callers."""
--- a/goldcreststair/components/jobs/router.py
+++ b/goldcreststair/components/jobs/router.py
@@ -18,7 +18,7 @@
 T = TypeVar("T")
 
 
-class JobFront:
+class JobRouter:
     """Implements `Jobs` over the daemon's own jobs and those of others."""
 
     def __init__(self, own: LocalJobs, remote: RemoteJobs, contact: StoreContact) -> None:
--- a/goldcreststair/components/jobs/sweeping.py
+++ b/goldcreststair/components/jobs/sweeping.py
@@ -12,12 +12,12 @@
 from goldcreststair.components.fleet.models import FLEET, Fleet, VmState
 from goldcreststair.components.fleet.protocols import FLEET_LINKS
 from goldcreststair.components.jobs.const import (
-    ADOPT_MS,
     RETENTION_MARGIN_MS,
     RETENTION_SWEEPS,
     SWEEP_MS,
     SWEEP_SOON_MS,
     TABLE_ENDS,
+    TAKEOVER_AFTER_MS,
 )
 from goldcreststair.components.jobs.models import JobKey, OpenJob
 from goldcreststair.components.jobs.records import JobRecords
@@ -163,7 +163,7 @@
     async def _async_look(self, job: OpenJob) -> None:
         fleet = self._core.blackboard.read(FLEET)
         if job.owner in fleet.vms:
-            if self._links.is_lost(job.owner, ADOPT_MS):
+            if self._links.is_lost(job.owner, TAKEOVER_AFTER_MS):
                 await self._async_adopt(job)
             elif self._seen.get(job.key) == job.version:
                 self._remind(job)
--- a/standins/measure/overload_policies.py
+++ b/standins/measure/overload_policies.py
@@ -33,7 +33,7 @@
 
 SWITCHES: Final = (
     Switch("progress saved", checkpoints, "CHECKPOINT_MS", 10**9),
-    Switch("jobs handed over with their runs", handover, "HAND_OVER_MS", 10**9),
+    Switch("jobs handed over with their runs", handover, "HANDOVER_GRACE_MS", 10**9),
     Switch("jobs taken over soon", sweeping, "SWEEP_SOON_MS", 1_490),
     Switch("late items last", execution, "LATE_FREE_SHARE", -1.0),
     Switch("batch stays out of bursts", controller, "BATCH_FREE_SHARE", 0.0),
--- a/tests/components/fleet/test_relayed_fleet.py
+++ b/tests/components/fleet/test_relayed_fleet.py
@@ -12,7 +12,7 @@
 from goldcreststair.components.fleet.models import FLEET
 from goldcreststair.components.fleet.protocols import FLEET_LINKS, hash_name
 from goldcreststair.components.fleet.relays import rank_relays
-from goldcreststair.components.jobs.const import ADOPT_MS
+from goldcreststair.components.jobs.const import TAKEOVER_AFTER_MS
 from goldcreststair.components.placement.loads import Runs
 from goldcreststair.components.placement.service import PLACEMENT
 from goldcreststair.components.quotas.service import QUOTAS
@@ -206,9 +206,9 @@
         await fleet.async_kill(gone)
         before = fleet.store.reads[TABLE_HEARTBEATS]
         # Its silence counts from the first reading of its heartbeat on.
-        await fleet.clock.async_sleep(HEARD_MS + HEARTBEAT_READ_MS + ADOPT_MS + NEWS_MS)
+        await fleet.clock.async_sleep(HEARD_MS + HEARTBEAT_READ_MS + TAKEOVER_AFTER_MS + NEWS_MS)
         links = [member.core.get(FLEET_LINKS) for member in kept]
-        assert all(each.is_lost(session, ADOPT_MS) for each in links)
+        assert all(each.is_lost(session, TAKEOVER_AFTER_MS) for each in links)
         assert fleet.store.reads[TABLE_HEARTBEATS] - before < 100
         await fleet.clock.async_sleep(EXPIRE_MS)
         assert all(session not in member.read(FLEET).vms for member in kept)
--- a/tests/components/jobs/test_router.py
+++ b/tests/components/jobs/test_router.py
@@ -4,7 +4,7 @@
 
 from goldcreststair.components.entry.service import ENTRY
 from goldcreststair.components.jobs.models import JobKey
-from goldcreststair.components.jobs.protocols import JOB_FRONT
+from goldcreststair.components.jobs.protocols import JOB_ROUTER
 from goldcreststair.helpers.refusals import RefusalCode
 from standins.gateways import FleetMember, GatewayFleet
 from tests.helpers.gateways import CUSTOMER, async_submit, run_fleet
@@ -42,7 +42,7 @@
         assert answer.accepted and answer.ended_at - began < 100
         await fleet.clock.async_sleep(3_000)
         for member in (first, second):
-            page = await member.core.get(JOB_FRONT).async_read_results(KEY, 0, 0)
+            page = await member.core.get(JOB_ROUTER).async_read_results(KEY, 0, 0)
             assert len(page.unwrap().results) == 2
 
     run_fleet(scenario)
@@ -54,7 +54,7 @@
         await fleet.clock.async_sleep(1_000)
         assert (await async_submit(fleet, second, "digest", 2)).accepted
         await async_turn_away(fleet, first)
-        front = first.core.get(JOB_FRONT)
+        front = first.core.get(JOB_ROUTER)
         assert (await front.async_read_body(KEY, "digest-1")).unwrap() == b"digest-1"
         missing = await front.async_read_results(JobKey(CUSTOMER, "other"), 0, 0)
         assert missing.unwrap_err().problem.value == "missing"
