--- a/goldcreststair/components/jobs/__init__.py
+++ b/goldcreststair/components/jobs/__init__.py
@@ -9,7 +9,7 @@
 from goldcreststair.components.jobs.remote import RemoteJobs
 from goldcreststair.components.jobs.router import JobRouter
 from goldcreststair.components.jobs.service import JobService
-from goldcreststair.components.jobs.sweeping import keep_inside
+from goldcreststair.components.jobs.sweeping import filter_by_region
 from goldcreststair.core import Component
 from goldcreststair.gateway_core import GatewayCore
 
@@ -18,7 +18,7 @@
     """Set up the jobs."""
     service = JobService(core)
     core.offer(JOBS, service)
-    remote = RemoteJobs(core.get(FLEET_LINKS), core.random.choice, partial(keep_inside, core))
+    remote = RemoteJobs(core.get(FLEET_LINKS), core.random.choice, partial(filter_by_region, core))
     core.offer(JOB_ROUTER, JobRouter(service, remote, core.store_contact))
     core.offer(JOB_API, JobApi(core))
     core.get(ENTRY).add_leaver(service)
--- a/goldcreststair/components/jobs/checkpoints.py
+++ b/goldcreststair/components/jobs/checkpoints.py
@@ -25,8 +25,8 @@
 )
 from goldcreststair.components.jobs.models import SavedProgress
 from goldcreststair.components.jobs.records import JobRecords
-from goldcreststair.components.jobs.registry import ItemProgress, ItemState, JobBook, OwnedJob
-from goldcreststair.components.jobs.result_writer import JobLister
+from goldcreststair.components.jobs.registry import ItemProgress, ItemState, JobRegistry, OwnedJob
+from goldcreststair.components.jobs.result_writer import ResultWriter
 from goldcreststair.const import MS_PER_SECOND
 from goldcreststair.gateway_core import GatewayCore
 from goldcreststair.store.rows import RowsConflict
@@ -46,13 +46,13 @@
     return max(CHECKPOINT_MS, daemons * jobs * MS_PER_SECOND // CHECKPOINTS_PER_S)
 
 
-def list_unsaved(job: OwnedJob, *, all_of_it: bool = False) -> list[SavedProgress]:
+def list_unsaved(job: OwnedJob, *, include_all: bool = False) -> list[SavedProgress]:
     """Return the progress that is worth saving now, or all that one transaction can hold."""
     waiting = [item for item in job.items if item.state in (ItemState.WAITING, ItemState.RUNNING)]
-    wanted = [item for item in waiting if _is_worth_saving(item, all_of_it=all_of_it)]
+    unsaved = [item for item in waiting if _is_worth_saving(item, include_all=include_all)]
     chosen: list[SavedProgress] = []
     size = 0
-    for item in sorted(wanted, key=lambda item: item.saved_event - item.last_event):
+    for item in sorted(unsaved, key=lambda item: item.saved_event - item.last_event):
         text = b"\n".join(item.data)
         # What does not fit into one row stays as it was saved last: any beginning is good to go on from.
         if len(text) > TEXT_PART_BYTES:
@@ -64,14 +64,14 @@
     return chosen
 
 
-def _is_worth_saving(item: ItemProgress, *, all_of_it: bool) -> bool:
-    if all_of_it:
+def _is_worth_saving(item: ItemProgress, *, include_all: bool) -> bool:
+    if include_all:
         return item.last_event > item.saved_event
     grown = item.last_event >= item.saved_event * CHECKPOINT_GROWTH
     return grown and item.last_event - item.saved_event >= CHECKPOINT_EVENTS
 
 
-def note_saved(job: OwnedJob, saved: list[SavedProgress]) -> None:
+def mark_saved(job: OwnedJob, saved: list[SavedProgress]) -> None:
     """Take it that progress stands in the store."""
     for progress in saved:
         job.items[progress.number].saved_event = progress.last_event
@@ -83,16 +83,16 @@
     def __init__(
         self,
         core: GatewayCore,
-        book: JobBook,
+        registry: JobRegistry,
         records: JobRecords,
-        lister: JobLister,
+        writer: ResultWriter,
         on_conflict: OnConflict,
     ) -> None:
         """Save nothing yet."""
         self._core = core
-        self._book = book
+        self._registry = registry
         self._records = records
-        self._lister = lister
+        self._writer = writer
         self._on_conflict = on_conflict
         self._task: asyncio.Task[None] | None = None
 
@@ -110,7 +110,7 @@
     async def _async_repeat(self) -> None:
         while True:
             daemons = len(self._core.blackboard.read(FLEET).vms)
-            interval_ms = choose_interval_ms(daemons, len(self._book.jobs))
+            interval_ms = choose_interval_ms(daemons, len(self._registry.jobs))
             await self._core.clock.async_sleep(interval_ms)
             try:
                 await self._async_save_all()
@@ -119,11 +119,11 @@
                 _LOGGER.exception("Progress not saved")
 
     async def _async_save_all(self) -> None:
-        for job in sorted(self._book.jobs.values(), key=attrgetter("due_at")):
+        for job in sorted(self._registry.jobs.values(), key=attrgetter("due_at")):
             if self._core.store_contact.is_away():
                 return
             # A listing under way changes the version that a save would be made under.
-            if not job.lost and self._lister.is_idle(job):
+            if not job.lost and self._writer.is_idle(job):
                 await self._async_save(job)
 
     async def _async_save(self, job: OwnedJob) -> None:
@@ -133,10 +133,10 @@
         saved = await self._records.async_save_progress(job.open, unsaved)
         extra = {"job": job.key.job, "items": len(unsaved)}
         if isinstance(saved, Ok):
-            note_saved(job, unsaved)
+            mark_saved(job, unsaved)
             _LOGGER.info("Progress saved", extra=extra)
             return
         error = saved.err_value
         _LOGGER.warning("Progress not saved", extra=extra | {"reason": error.message})
-        if isinstance(error, RowsConflict) and self._lister.is_idle(job):
+        if isinstance(error, RowsConflict) and self._writer.is_idle(job):
             self._on_conflict(job)
--- a/goldcreststair/components/jobs/codec.py
+++ b/goldcreststair/components/jobs/codec.py
@@ -10,8 +10,8 @@
     JobRecord,
     OpenJob,
     SavedProgress,
-    name_progress,
-    name_result,
+    make_progress_key,
+    make_result_key,
 )
 from goldcreststair.store.rows import RowKey, StoredRow
 from goldcreststair.wire.codec import encode_struct, read_struct
@@ -77,7 +77,7 @@
             job.key.job,
             job.owner,
             job.commit,
-            job.listed,
+            job.committed,
             job.waiting_tokens,
             job.route,
             list(job.failures),
@@ -106,9 +106,9 @@
     parts = [text[at : at + TEXT_PART_BYTES] for at in range(0, len(text), TEXT_PART_BYTES)]
     parts = parts or [b""]
     first = ResultRow(result.item, result.done, parts[0], len(parts))
-    rows = [(name_result(key, position), encode_struct(first))]
+    rows = [(make_result_key(key, position), encode_struct(first))]
     for number, part in enumerate(parts[1:], 1):
-        rows.append((name_result(key, position, number), part))
+        rows.append((make_result_key(key, position, number), part))
     return rows
 
 
@@ -130,7 +130,7 @@
 def encode_progress(key: JobKey, progress: SavedProgress) -> tuple[RowKey, bytes]:
     """Return the row of an item's progress."""
     encoded = encode_struct(ProgressRow(progress.last_event, progress.text))
-    return name_progress(key, progress.number), encoded
+    return make_progress_key(key, progress.number), encoded
 
 
 def decode_progress(rows: Iterable[StoredRow]) -> list[SavedProgress]:
--- a/goldcreststair/components/jobs/const.py
+++ b/goldcreststair/components/jobs/const.py
@@ -23,7 +23,7 @@
 LATE_FREE_SHARE: Final = 0.5
 """With more than this share of a service's slots free, late items start although others could be in
 time: there is room for both."""
-URGENT_NEWS_MS: Final = 1_000
+WAITING_REPORT_TTL_MS: Final = 1_000
 """What another daemon says of its waiting items counts for so long."""
 COMMIT_RETRY_MS: Final = 150
 """Pause after a commit that failed."""
@@ -36,11 +36,11 @@
 be on its way to this daemon."""
 POISON_PAUSE_MS: Final = 5_000
 """How often an item that crashes upstreams is looked at again."""
-GAP_MS: Final = 700
+EVENT_TIMEOUT_MS: Final = 700
 """Silence within a run after which it goes on elsewhere."""
-FIRST_MS: Final = 2_500
+FIRST_EVENT_TIMEOUT_MS: Final = 2_500
 """Silence before a run's first event: it may wait in the upstream's queue."""
-MAX_PATIENCE_DOUBLINGS: Final = 4
+MAX_TIMEOUT_DOUBLINGS: Final = 4
 """Each silent run of an item in a row doubles both for its next one, so often at most: where all upstreams
 are slow none takes the place of a run that is given up."""
 RUN_TIMEOUT_MS: Final = 60_000
@@ -74,10 +74,10 @@
 RETENTION_SWEEPS: Final = 20
 """Every so many sweeps jobs past their time are removed."""
 RETENTION_MARGIN_MS: Final = 30_000
-GIVE_UP_MARGIN_MS: Final = 1_000
+EXPIRY_MARGIN_MS: Final = 1_000
 """An item is given up so long after it may be: the store's clock is read with a delay."""
 
-USAGE_STRICT_SHARE: Final = 0.6
+USAGE_SERIALIZED_SHARE: Final = 0.6
 """Above this share of a customer's limit of waiting tokens, submissions are put in one order, so that
 two at the same moment cannot both take the last room."""
 ACCEPT_TRIES: Final = 4
--- a/goldcreststair/components/jobs/execution.py
+++ b/goldcreststair/components/jobs/execution.py
@@ -14,7 +14,7 @@
 from goldcreststair.components.crash_marks.service import CRASH_MARKS
 from goldcreststair.components.discovery.models import UpstreamEntry
 from goldcreststair.components.jobs.const import (
-    GIVE_UP_MARGIN_MS,
+    EXPIRY_MARGIN_MS,
     LATE_FREE_SHARE,
     POISON_PAUSE_MS,
     ROUTE_GONE_MS,
@@ -23,16 +23,21 @@
 )
 from goldcreststair.components.jobs.estimate import WorkEstimate
 from goldcreststair.components.jobs.models import ItemResult, JobKey, JobRecord
-from goldcreststair.components.jobs.outcome import Verdict, choose_pause, count_silent, judge_run
+from goldcreststair.components.jobs.outcome import (
+    Verdict,
+    choose_backoff_ms,
+    classify_run,
+    count_silent_runs,
+)
 from goldcreststair.components.jobs.registry import (
     ItemProgress,
     ItemState,
-    JobBook,
+    JobRegistry,
     OwnedJob,
     RankedItem,
-    choose_yielding,
+    choose_preempted,
 )
-from goldcreststair.components.jobs.result_writer import JobLister
+from goldcreststair.components.jobs.result_writer import ResultWriter
 from goldcreststair.components.jobs.runner import ItemSink, async_run_item
 from goldcreststair.components.placement.loads import Runs
 from goldcreststair.components.placement.service import PLACEMENT
@@ -48,7 +53,7 @@
 
 DEFAULT_ATTEMPTS = 3
 METHOD = "POST"
-LINES: Final = {
+LOG_MESSAGES: Final = {
     "started": "Item started",
     "again": "Item runs again",
     "done": "Item done",
@@ -80,27 +85,27 @@
     def __init__(
         self,
         core: GatewayCore,
-        book: JobBook,
-        lister: JobLister,
+        registry: JobRegistry,
+        writer: ResultWriter,
         estimate: WorkEstimate,
-        read_others_urgent: Callable[[], int],
+        count_waiting_elsewhere: Callable[[], int],
     ) -> None:
         """Run nothing yet; `read_others_urgent` counts what waits at other daemons in time."""
-        self.urgent_waiting = 0
+        self.waiting_in_time = 0
         """Items that wait here and can be in time."""
-        self._read_others_urgent = read_others_urgent
+        self._count_waiting_elsewhere = count_waiting_elsewhere
         self._estimate = estimate
         self._core = core
         self._clock = core.clock
-        self._book = book
-        self._lister = lister
+        self._registry = registry
+        self._writer = writer
         self._placement = core.get(PLACEMENT)
-        self._placement.on_yield(self._give_way)
+        self._placement.on_yield(self._preempt)
         self._runs: dict[_Run, None] = {}
         """In the order of their begin, which decides between equal ones; a set has no order."""
         self._stopped = False
-        self._picture: int | None = None
-        self._starts: dict[str, int] = {}
+        self._digest_sequence: int | None = None
+        self._starts_left: dict[str, int] = {}
         """Items of each service that may still start by `_picture`, where all daemons share one."""
 
     async def async_close(self) -> None:
@@ -135,45 +140,45 @@
     def tick(self) -> None:
         """Give up what waited too long, and start what may."""
         now = self._clock.now()
-        for job, item in tuple(self._book.list_given_up(Millis(now - GIVE_UP_MARGIN_MS))):
+        for job, item in tuple(self._registry.list_expired(Millis(now - EXPIRY_MARGIN_MS))):
             self._finish(job, item, ItemResult(item.item.item, done=False), "waited too long")
-        self.urgent_waiting = 0
-        if self._stopped or not self._book.jobs:
+        self.waiting_in_time = 0
+        if self._stopped or not self._registry.jobs:
             return
-        startable = self._book.list_startable(now, self._estimate.read_left_ms)
-        self.urgent_waiting = sum(not ranked.hopeless for ranked in startable)
-        self._start_some(startable)
+        startable = self._registry.list_startable(now, self._estimate.estimate_remaining_ms)
+        self.waiting_in_time = sum(not ranked.late for ranked in startable)
+        self._start_items(startable)
 
-    def _start_some(self, startable: Sequence[RankedItem]) -> None:
+    def _start_items(self, startable: Sequence[RankedItem]) -> None:
         left = STARTS_PER_TICK
         full: set[str] = set()
-        stuck: set[JobKey] = set()
+        blocked: set[JobKey] = set()
         for ranked in startable:
             # A job's items share their service: one that finds no slot speaks for the rest.
-            if ranked.job.key in stuck:
+            if ranked.job.key in blocked:
                 continue
             if not self._start(ranked, full):
-                stuck.add(ranked.job.key)
+                blocked.add(ranked.job.key)
                 continue
             left -= 1
             if not left:
                 return
 
-    def _has_part(self, service: str) -> bool:
+    def _may_start_another(self, service: str) -> bool:
         """Return whether this daemon may take one more slot by the picture that all share."""
         controller = self._placement.controller
-        picture = controller.picture
-        if picture is None:
+        sequence = controller.picture
+        if sequence is None:
             return True
-        if picture != self._picture:
-            self._picture = picture
-            self._starts.clear()
-        if service not in self._starts:
+        if sequence != self._digest_sequence:
+            self._digest_sequence = sequence
+            self._starts_left.clear()
+        if service not in self._starts_left:
             free = controller.count_free_for_batch(service)
-            others = self._read_others_urgent()
-            part = allot_starts(free, self.urgent_waiting, others, self._core.random)
-            self._starts[service] = part
-        return self._starts[service] > 0
+            others = self._count_waiting_elsewhere()
+            part = allot_starts(free, self.waiting_in_time, others, self._core.random)
+            self._starts_left[service] = part
+        return self._starts_left[service] > 0
 
     def _start(self, ranked: RankedItem, full: set[str]) -> bool:
         """Start an item or judge it; returns False if it waits for its route or its service.
@@ -184,44 +189,46 @@
         catalogue = self._core.blackboard.read(CATALOGUE)
         route = catalogue.find_route(job.record.route_host, item.item.path)
         if route is None:
-            if not self._has_lost_route(job):
+            if not self._is_route_gone(job):
                 return False
             self._finish(job, item, ItemResult(item.item.item, done=False), "its route is gone")
             return True
-        job.routeless_at = None
+        job.route_missing_since = None
         service = choose_service(route, self._core.random.random())
         if service in full:
             return False
-        if self._core.get(CRASH_MARKS).is_refused(_mark_item(job, item)):
+        if self._core.get(CRASH_MARKS).is_refused(_make_fingerprint(job, item)):
             # It waits until it may be given up: upstreams that it crashes run others' items as well.
             item.not_before = Millis(self._clock.now() + POISON_PAUSE_MS)
             return True
         customer = catalogue.customers.get(job.key.customer)
         regions = find_request_regions(route, customer)
-        entry = self._find_slot(service, regions, late=ranked.hopeless)
+        entry = self._find_slot(service, regions, late=ranked.late)
         if entry is None:
             if regions is None:
                 full.add(service)
             return False
-        runs = Runs(batch=1, late=int(ranked.hopeless))
-        if service in self._starts:
-            self._starts[service] -= 1
+        runs = Runs(batch=1, late=int(ranked.late))
+        if service in self._starts_left:
+            self._starts_left[service] -= 1
         self._begin(_Run(job, item, entry, route, runs, self._clock.now(), item.last_event))
-        reason = "late, a slot is free" if ranked.hopeless else "a slot is free"
+        reason = "late, a slot is free" if ranked.late else "a slot is free"
         self._log(job, item, "started", reason, entry.name)
         return True
 
-    def _has_lost_route(self, job: OwnedJob) -> bool:
+    def _is_route_gone(self, job: OwnedJob) -> bool:
         """Return whether a job whose route is missing has lost it for good."""
         if not self._core.blackboard.read(CATALOGUE).version:
             return False
         now = self._clock.now()
-        job.routeless_at = now if job.routeless_at is None else job.routeless_at
-        return now - job.routeless_at >= ROUTE_GONE_MS
+        job.route_missing_since = (
+            now if job.route_missing_since is None else job.route_missing_since
+        )
+        return now - job.route_missing_since >= ROUTE_GONE_MS
 
     def _find_slot(self, service: str, regions: Regions, *, late: bool) -> UpstreamEntry | None:
         """Return the upstream whose slot an item may take now."""
-        if not self._has_part(service):
+        if not self._may_start_another(service):
             return None
         entry = self._placement.controller.choose_for_batch(service, regions)
         if entry is None or not self._placement.has_connections(entry):
@@ -234,7 +241,7 @@
         Other daemons' items that can be in time go first, unless there is room for all.
         """
         free, slots = self._placement.controller.read_idle(service)
-        return free > slots * LATE_FREE_SHARE or not self._read_others_urgent()
+        return free > slots * LATE_FREE_SHARE or not self._count_waiting_elsewhere()
 
     def _begin(self, run: _Run) -> None:
         name = run.upstream.name
@@ -264,7 +271,7 @@
             _LOGGER.error("Item's run failed", exc_info=error)
             run.item.state = ItemState.WAITING
         elif not run.job.lost:
-            self._judge(run, task.result())
+            self._handle_result(run, task.result())
 
     def _stop_run(self, run: _Run) -> None:
         """End a run; what it brought is kept."""
@@ -299,15 +306,15 @@
             resume_after=item.last_event,
         )
 
-    def _judge(self, run: _Run, end: Result[RunEnd, UpstreamError]) -> None:
+    def _handle_result(self, run: _Run, end: Result[RunEnd, UpstreamError]) -> None:
         job, item, name = run.job, run.item, run.upstream.name
-        verdict = judge_run(end, item.failures, run.route.max_attempts)
+        verdict = classify_run(end, item.failures, run.route.max_attempts)
         item.failures += verdict.failed
-        item.lost = item.lost + 1 if verdict.lost else 0
-        item.silent = count_silent(end, item.silent)
+        item.lost_runs = item.lost_runs + 1 if verdict.lost else 0
+        item.silent_runs = count_silent_runs(end, item.silent_runs)
         if verdict.verdict is Verdict.AGAIN:
-            self._note_failure(run, end)
-            pause_ms = choose_pause(item.lost + item.failures)
+            self._report_failure(run, end)
+            pause_ms = choose_backoff_ms(item.lost_runs + item.failures)
             item.not_before = Millis(self._clock.now() + pause_ms)
             item.state = ItemState.WAITING
             self._log(job, item, "again", _describe(end), name)
@@ -320,14 +327,14 @@
         reason = "whole" if done else _describe(end)
         self._finish(job, item, ItemResult(item.item.item, done, text), reason, name)
 
-    def _note_failure(self, run: _Run, end: Result[RunEnd, UpstreamError]) -> None:
+    def _report_failure(self, run: _Run, end: Result[RunEnd, UpstreamError]) -> None:
         if isinstance(end, Ok):
             return
         error = end.err_value
         if error.failure in (UpstreamFailure.CONNECT, UpstreamFailure.SILENT):
             self._placement.note_down(run.upstream, error.message, run.item.item.item)
         elif error.failure is UpstreamFailure.LOST:
-            mark = _mark_item(run.job, run.item)
+            mark = _make_fingerprint(run.job, run.item)
             begun = run.item.last_event > run.first_event
             self._core.get(CRASH_MARKS).report_lost(run.upstream, mark, begun=begun)
         elif error.failure is UpstreamFailure.REFUSED:
@@ -340,11 +347,13 @@
         item.data.clear()
         job.finished.append((item, result))
         self._log(job, item, "done" if result.done else "given_up", reason, upstream)
-        self._lister.list_soon(job)
+        self._writer.schedule(job)
 
-    def _give_way(self, upstream: str, count: int) -> None:
-        there = [run for run in self._runs if run.upstream.name == upstream]
-        for run in choose_yielding(there, count, self._clock.now(), self._estimate.read_left_ms):
+    def _preempt(self, upstream: str, count: int) -> None:
+        running = [run for run in self._runs if run.upstream.name == upstream]
+        for run in choose_preempted(
+            running, count, self._clock.now(), self._estimate.estimate_remaining_ms
+        ):
             self._stop_run(run)
             self._log(run.job, run.item, "yielded", "online work needs the slot", upstream)
         self._placement.controller.note_yielded(upstream)
@@ -354,7 +363,7 @@
     ) -> None:
         self._core.meters.count_item(choice)
         _LOGGER.info(
-            LINES[choice],
+            LOG_MESSAGES[choice],
             extra={
                 "job": job.key.job,
                 "item": item.item.item,
@@ -362,13 +371,13 @@
                 "reason": reason,
                 "last_event": item.last_event,
                 "failures": item.failures,
-                "lost": item.lost,
+                "lost": item.lost_runs,
                 "due_in_ms": job.due_at - self._clock.now(),
             },
         )
 
 
-def _mark_item(job: OwnedJob, item: ItemProgress) -> str:
+def _make_fingerprint(job: OwnedJob, item: ItemProgress) -> str:
     return make_call_fingerprint(job.key.customer, METHOD, item.item.path, item.item.body)
 
 
--- a/goldcreststair/components/jobs/handover.py
+++ b/goldcreststair/components/jobs/handover.py
@@ -14,8 +14,8 @@
 from goldcreststair.components.jobs.const import HANDOVER_GRACE_MS, TICK_MS
 from goldcreststair.components.jobs.errors import JobLost
 from goldcreststair.components.jobs.records import JobRecords
-from goldcreststair.components.jobs.registry import JobBook, OwnedJob
-from goldcreststair.components.jobs.result_writer import JobLister
+from goldcreststair.components.jobs.registry import JobRegistry, OwnedJob
+from goldcreststair.components.jobs.result_writer import ResultWriter
 from goldcreststair.components.jobs.sweeping import choose_owner
 from goldcreststair.gateway_core import GatewayCore
 
@@ -25,16 +25,16 @@
 """Pause after a hand-over that the store did not take."""
 
 
-class JobGiver(Protocol):
+class HandoverSource(Protocol):
     """The jobs of this daemon."""
 
     def is_idle(self, job: OwnedJob) -> bool:
         """Return whether no item of a job runs."""
 
-    def give_up(self, job: OwnedJob, session: str) -> None:
+    def release(self, job: OwnedJob, session: str) -> None:
         """Stop a job that is another daemon's now, and tell that one."""
 
-    def doubt(self, job: OwnedJob) -> None:
+    def recheck(self, job: OwnedJob) -> None:
         """Ask the store again whether a job is this daemon's."""
 
 
@@ -44,17 +44,17 @@
     def __init__(
         self,
         core: GatewayCore,
-        book: JobBook,
+        registry: JobRegistry,
         records: JobRecords,
-        lister: JobLister,
-        giver: JobGiver,
+        writer: ResultWriter,
+        source: HandoverSource,
     ) -> None:
         """Hand over nothing yet."""
         self._core = core
-        self._book = book
+        self._registry = registry
         self._records = records
-        self._lister = lister
-        self._giver = giver
+        self._writer = writer
+        self._source = source
 
     async def async_run(self) -> None:
         """Give each job away once all results are listed, and its runs have had time to end."""
@@ -63,23 +63,23 @@
         # Jobs that were being accepted or taken over when the leave began arrive after it.
         while True:
             waited = clock.now() - began_at >= HANDOVER_GRACE_MS
-            for job in tuple(self._book.jobs.values()):
-                if self._lister.is_idle(job) and (waited or self._giver.is_idle(job)):
-                    await self._async_give(job)
+            for job in tuple(self._registry.jobs.values()):
+                if self._writer.is_idle(job) and (waited or self._source.is_idle(job)):
+                    await self._async_hand_over(job)
             await clock.async_sleep(TICK_MS)
 
-    async def _async_give(self, job: OwnedJob) -> None:
+    async def _async_hand_over(self, job: OwnedJob) -> None:
         """Make another daemon the owner; runs go on until the store has agreed."""
         session = choose_owner(self._core, job.key, job.open.route)
         if not session:
             return
-        unsaved = list_unsaved(job, all_of_it=True)
-        given = await self._records.async_assign(job.open, session, unsaved)
-        if isinstance(given, Err):
-            _LOGGER.warning("Job not handed over: %s", given.err_value.message)
+        unsaved = list_unsaved(job, include_all=True)
+        assigned = await self._records.async_assign(job.open, session, unsaved)
+        if isinstance(assigned, Err):
+            _LOGGER.warning("Job not handed over: %s", assigned.err_value.message)
             # An earlier change may have been made although its answer was lost.
-            if isinstance(given.err_value, JobLost):
-                self._giver.doubt(job)
+            if isinstance(assigned.err_value, JobLost):
+                self._source.recheck(job)
             await self._core.clock.async_sleep(RETRY_MS)
             return
-        self._giver.give_up(job, session)
+        self._source.release(job, session)
--- a/goldcreststair/components/jobs/models.py
+++ b/goldcreststair/components/jobs/models.py
@@ -56,7 +56,7 @@
     """Session of the daemon that runs it."""
     commit: str
     """Names the last change of the row, so that a lost answer can be told from a conflict."""
-    listed: int
+    committed: int
     """Results listed."""
     waiting_tokens: int
     """Tokens of the items that are not listed."""
@@ -134,25 +134,25 @@
     """Time on the store's clock."""
 
 
-def name_row(table: str, key: JobKey, suffix: str = "") -> RowKey:
+def make_row_key(table: str, key: JobKey, suffix: str = "") -> RowKey:
     """Return where a row of a job stands: all rows of a customer share their part."""
     return RowKey(table, key.customer, key.job + suffix)
 
 
-def name_result(key: JobKey, position: int, part: int = 0) -> RowKey:
+def make_result_key(key: JobKey, position: int, part: int = 0) -> RowKey:
     """Return where a result stands; rows sort by position, then by part.
 
-    >>> name_result(JobKey("c", "j"), 3).key, name_result(JobKey("c", "j"), 3, 2).key
+    >>> make_result_key(JobKey("c", "j"), 3).key, make_result_key(JobKey("c", "j"), 3, 2).key
     ('j/000003', 'j/000003/02')
     """
     suffix = f"/{position:06d}" + (f"/{part:02d}" if part else "")
-    return name_row(TABLE_RESULTS, key, suffix)
+    return make_row_key(TABLE_RESULTS, key, suffix)
 
 
-def name_progress(key: JobKey, number: int) -> RowKey:
+def make_progress_key(key: JobKey, number: int) -> RowKey:
     """Return where the progress of an item stands.
 
-    >>> name_progress(JobKey("c", "j"), 3).key
+    >>> make_progress_key(JobKey("c", "j"), 3).key
     'j/000003'
     """
-    return name_row(TABLE_PROGRESS, key, f"/{number:06d}")
+    return make_row_key(TABLE_PROGRESS, key, f"/{number:06d}")
--- a/goldcreststair/components/jobs/outcome.py
+++ b/goldcreststair/components/jobs/outcome.py
@@ -11,7 +11,7 @@
 from goldcreststair.upstreams.runner import RunEnd
 
 STATUS_OK: Final = 200
-STATUS_IMPOSSIBLE: Final = 422
+STATUS_UNPROCESSABLE: Final = 422
 """The upstream says that this item can never be done."""
 STATUS_FAILED: Final = 500
 
@@ -35,14 +35,16 @@
     """Whether the run ended without any answer."""
 
 
-def judge_run(end: Result[RunEnd, UpstreamError], failures: int, max_attempts: int) -> ItemVerdict:
+def classify_run(
+    end: Result[RunEnd, UpstreamError], failures: int, max_attempts: int
+) -> ItemVerdict:
     """Return what a run means for an item that has failed `failures` times before."""
     if isinstance(end, Err):
         return ItemVerdict(Verdict.AGAIN, lost=not end.err_value.not_run)
     status = end.ok_value.head.status
     if status == STATUS_OK:
         return ItemVerdict(Verdict.DONE)
-    if status == STATUS_IMPOSSIBLE:
+    if status == STATUS_UNPROCESSABLE:
         return ItemVerdict(Verdict.GIVEN_UP, failed=True)
     if status != STATUS_FAILED:
         # A time-out of the upstream, or an answer that says nothing of the item itself.
@@ -52,7 +54,7 @@
     return ItemVerdict(Verdict.AGAIN, failed=True)
 
 
-def count_silent(end: Result[RunEnd, UpstreamError], before: int) -> int:
+def count_silent_runs(end: Result[RunEnd, UpstreamError], before: int) -> int:
     """Return how many runs in a row were silent; one that did not run tells nothing."""
     if isinstance(end, Ok):
         return 0
@@ -61,10 +63,10 @@
     return before + 1 if end.err_value.failure is UpstreamFailure.SILENT else 0
 
 
-def choose_pause(failures: int) -> int:
+def choose_backoff_ms(failures: int) -> int:
     """Return the ms before an item runs again after so many failures in a row.
 
-    >>> choose_pause(0), choose_pause(1), choose_pause(3), choose_pause(30)
+    >>> choose_backoff_ms(0), choose_backoff_ms(1), choose_backoff_ms(3), choose_backoff_ms(30)
     (0, 100, 400, 2000)
     """
     if failures <= 0:
--- a/goldcreststair/components/jobs/protocols.py
+++ b/goldcreststair/components/jobs/protocols.py
@@ -41,10 +41,10 @@
     def can_accept(self) -> bool:
         """Whether a submission can be accepted here now."""
 
-    def knows_results(self, key: JobKey, position: int) -> bool:
+    def can_read_results(self, key: JobKey, position: int) -> bool:
         """Return whether results from a position on can be told here now."""
 
-    def knows_items(self, key: JobKey) -> bool:
+    def can_read_items(self, key: JobKey) -> bool:
         """Return whether a job's items can be told here now."""
 
     def owns(self, key: JobKey) -> bool:
--- a/goldcreststair/components/jobs/reading.py
+++ b/goldcreststair/components/jobs/reading.py
@@ -22,7 +22,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-class _Known:
+class _CachedJob:
     """What this daemon has read of one job: none of it ever changes."""
 
     def __init__(self, record: JobRecord) -> None:
@@ -42,40 +42,40 @@
         """Start with nothing."""
         self._records = records
         self._clock = clock
-        self._known: OrderedDict[JobKey, _Known] = OrderedDict()
+        self._cache: OrderedDict[JobKey, _CachedJob] = OrderedDict()
 
-    def note_record(self, record: JobRecord) -> None:
+    def cache_record(self, record: JobRecord) -> None:
         """Remember a job that was just accepted or loaded."""
-        if record.key not in self._known:
-            self._known[record.key] = _Known(record)
+        if record.key not in self._cache:
+            self._cache[record.key] = _CachedJob(record)
 
-    def knows(self, key: JobKey, position: int) -> bool:
+    def has_results(self, key: JobKey, position: int) -> bool:
         """Return whether results from a position on are known without the store."""
-        known = self._known.get(key)
-        if known is None:
+        cached = self._cache.get(key)
+        if cached is None:
             return False
-        return position < len(known.results) or len(known.results) == known.record.items
+        return position < len(cached.results) or len(cached.results) == cached.record.items
 
-    def keep_results(self, record: JobRecord, results: list[ItemResult]) -> None:
+    def cache_results(self, record: JobRecord, results: list[ItemResult]) -> None:
         """Remember the listed results of a job that this daemon ran."""
-        self.note_record(record)
-        known = self._known[record.key]
-        if len(results) > len(known.results):
-            known.results = list(results)
+        self.cache_record(record)
+        cached = self._cache[record.key]
+        if len(results) > len(cached.results):
+            cached.results = list(results)
         self._trim()
 
     async def async_find(self, key: JobKey) -> Result[JobRecord, JobError]:
         """Return a job as it was accepted."""
-        known = self._known.get(key)
-        if known is not None:
-            self._known.move_to_end(key)
-            return Ok(known.record)
+        cached = self._cache.get(key)
+        if cached is not None:
+            self._cache.move_to_end(key)
+            return Ok(cached.record)
         found = await self._records.async_find(key)
         if isinstance(found, Err):
             return Err(JobError(found.err_value.message))
         if found.ok_value is None:
             return Err(JobError("no such job", JobProblem.MISSING))
-        self.note_record(found.ok_value)
+        self.cache_record(found.ok_value)
         return Ok(found.ok_value)
 
     async def async_read(
@@ -99,47 +99,47 @@
         found = await self.async_find(key)
         if isinstance(found, Err):
             return found
-        known = self._known.get(key) or _Known(found.ok_value)
-        if known.items:
-            return Ok(known.items)
+        cached = self._cache.get(key) or _CachedJob(found.ok_value)
+        if cached.items:
+            return Ok(cached.items)
         content = await self._records.async_read_object(found.ok_value.body_object)
         if isinstance(content, Err):
             # The object goes once all items are listed or the job has ended.
             gone = isinstance(content.err_value, ObjectMissing)
             problem = JobProblem.MISSING if gone else JobProblem.UNAVAILABLE
             return Err(JobError(content.err_value.message, problem))
-        known.items = decode_items(content.ok_value)
+        cached.items = decode_items(content.ok_value)
         self._trim()
-        return Ok(known.items)
+        return Ok(cached.items)
 
-    def forget(self, key: JobKey) -> None:
+    def invalidate(self, key: JobKey) -> None:
         """Drop a job whose record changed."""
-        self._known.pop(key, None)
+        self._cache.pop(key, None)
 
     async def _async_read_page(
         self, record: JobRecord, position: int
     ) -> Result[ResultPage, JobError]:
-        known = self._known.get(record.key) or _Known(record)
-        if position >= len(known.results) and len(known.results) < record.items:
-            first = len(known.results)
+        cached = self._cache.get(record.key) or _CachedJob(record)
+        if position >= len(cached.results) and len(cached.results) < record.items:
+            first = len(cached.results)
             read = await self._records.async_read_results(record.key, first)
             if isinstance(read, Err):
                 return Err(JobError(read.err_value.message))
             # Two readers at once bring the same results: added twice, each would stand at two
             # positions.
-            if len(known.results) == first:
-                known.results += read.ok_value
+            if len(cached.results) == first:
+                cached.results += read.ok_value
             self._trim()
-        return Ok(cut_page(record.items, known.results, position))
+        return Ok(make_page(record.items, cached.results, position))
 
     def _trim(self) -> None:
-        size = sum(known.size() for known in self._known.values())
-        while size > CACHE_BYTES and len(self._known) > 1:
-            _, dropped = self._known.popitem(last=False)
+        size = sum(cached.size() for cached in self._cache.values())
+        while size > CACHE_BYTES and len(self._cache) > 1:
+            _, dropped = self._cache.popitem(last=False)
             size -= dropped.size()
 
 
-def cut_page(total: int, results: list[ItemResult], position: int) -> ResultPage:
+def make_page(total: int, results: list[ItemResult], position: int) -> ResultPage:
     """Return the results from a position on, as many as one answer may hold."""
     page: list[ItemResult] = []
     size = 0
--- a/goldcreststair/components/jobs/records.py
+++ b/goldcreststair/components/jobs/records.py
@@ -28,7 +28,7 @@
     TABLE_ORDER,
     TABLE_PROGRESS,
     TABLE_RESULTS,
-    USAGE_STRICT_SHARE,
+    USAGE_SERIALIZED_SHARE,
 )
 from goldcreststair.components.jobs.errors import JobError, JobLost, JobProblem
 from goldcreststair.components.jobs.models import (
@@ -39,9 +39,9 @@
     SavedProgress,
     Submission,
     Usage,
-    name_progress,
-    name_result,
-    name_row,
+    make_progress_key,
+    make_result_key,
+    make_row_key,
 )
 from goldcreststair.store.errors import ObjectMissing, PlatformError, PlatformOutcomeUnknown
 from goldcreststair.store.reading import async_read_all
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class ResultCommit:
     """A change that lists results of a job."""
 
     before: OpenJob
@@ -69,7 +69,7 @@
     """Rows of progress that the results make needless."""
 
 
-class StoreTime:
+class StoreClock:
     """The store's clock, as far as its answers tell."""
 
     def __init__(self, clock: Clock) -> None:
@@ -77,14 +77,14 @@
         self._clock = clock
         self._ahead_ms: int | None = None
 
-    def note(self, store_ms: int) -> None:
+    def update(self, store_ms: int) -> None:
         """Take the time that an answer carries; it was true when the answer left."""
         ahead_ms = store_ms - self._clock.now()
         # Answers come late and never early: the largest lead is the nearest to the truth.
         if self._ahead_ms is None or ahead_ms > self._ahead_ms:
             self._ahead_ms = ahead_ms
 
-    def turn(self, store_ms: int) -> int:
+    def to_local(self, store_ms: int) -> int:
         """Return a time of the store on this daemon's clock."""
         return store_ms - (self._ahead_ms or 0)
 
@@ -94,7 +94,7 @@
 
     def __init__(self, store: RowStore, clock: Clock) -> None:
         """Use the store."""
-        self.time = StoreTime(clock)
+        self.store_clock = StoreClock(clock)
         self._store = store
 
     async def async_accept(
@@ -118,8 +118,8 @@
                 if isinstance(put, Err):
                     return put
                 stored = put.ok_value
-            strict = usage.tokens + submission.tokens > limit * USAGE_STRICT_SHARE
-            order = usage.order if limit and strict else None
+            serialize = usage.tokens + submission.tokens > limit * USAGE_SERIALIZED_SHARE
+            order = usage.order if limit and serialize else None
             done = await self._async_commit_job(submission, stored, owner, order)
             if isinstance(done, Ok) or done.err_value.problem is not JobProblem.MISSING:
                 return done
@@ -130,29 +130,29 @@
         read = await async_read_all(self._store, RowRange(TABLE_OPEN, customer))
         if isinstance(read, Err):
             return read
-        self.time.note(read.ok_value.now_ms)
+        self.store_clock.update(read.ok_value.now_ms)
         return Ok({row.key.key: decode_open(row) for row in read.ok_value.rows})
 
     async def async_find(self, key: JobKey) -> Result[JobRecord | None, PlatformError]:
         """Return a job as it was accepted."""
-        row = await self._async_read_row(name_row(TABLE_JOBS, key))
+        row = await self._async_read_row(make_row_key(TABLE_JOBS, key))
         return row.map(lambda found: None if found is None else decode_record(found))
 
     async def async_find_open(self, key: JobKey) -> Result[OpenJob | None, PlatformError]:
         """Return an open job; None if it is finished, ended or unknown."""
-        row = await self._async_read_row(name_row(TABLE_OPEN, key))
+        row = await self._async_read_row(make_row_key(TABLE_OPEN, key))
         return row.map(lambda found: None if found is None else decode_open(found))
 
     async def async_read_results(
         self, key: JobKey, position: int
     ) -> Result[list[ItemResult], PlatformError]:
         """Return the results listed from a position on, as many as one read brings."""
-        first = name_result(key, position)
-        end = name_row(first.table, key, "0").key
+        first = make_result_key(key, position)
+        end = make_row_key(first.table, key, "0").key
         read = await self._store.async_read(RowRange(first.table, first.part, first.key, end))
         if isinstance(read, Err):
             return read
-        self.time.note(read.ok_value.now_ms)
+        self.store_clock.update(read.ok_value.now_ms)
         return Ok(decode_results(read.ok_value.rows))
 
     async def async_read_all_results(
@@ -173,13 +173,13 @@
         """Return the object of a job's items."""
         return await self._store.async_get_object(name)
 
-    def prepare_listing(
+    def prepare_commit(
         self,
         job: OpenJob,
         results: Sequence[tuple[int, ItemResult]],
         failures: tuple[int, ...],
         saved: Sequence[int] = (),
-    ) -> Listing:
+    ) -> ResultCommit:
         """Return the change that lists results at the next positions.
 
         `results` pairs the tokens of each item with its result; `saved` numbers those of the items
@@ -188,21 +188,21 @@
         puts = [
             row
             for at, (_, result) in enumerate(results)
-            for row in encode_result(job.key, job.listed + at, result)
+            for row in encode_result(job.key, job.committed + at, result)
         ]
         tokens = job.waiting_tokens - sum(tokens for tokens, _ in results)
         after = replace(
             job,
-            listed=job.listed + len(results),
+            committed=job.committed + len(results),
             waiting_tokens=max(0, tokens),
             failures=failures,
             commit=secrets.token_hex(4),
         )
-        deletes = tuple(name_progress(job.key, number) for number in saved)
-        return Listing(job, after, tuple(puts), deletes)
+        deletes = tuple(make_progress_key(job.key, number) for number in saved)
+        return ResultCommit(job, after, tuple(puts), deletes)
 
-    async def async_list_results(
-        self, listing: Listing
+    async def async_commit_results(
+        self, commit: ResultCommit
     ) -> Result[OpenJob, PlatformError | JobLost]:
         """List results; returns the job as it stands then.
 
@@ -210,13 +210,11 @@
         own row is written under its version, so that an owner that was paused and replaced cannot
         list anything.
         """
-        return await self._async_change(
-            listing.before, listing.after, listing.puts, listing.deletes
-        )
+        return await self._async_change(commit.before, commit.after, commit.puts, commit.deletes)
 
     async def async_close_job(self, job: OpenJob) -> Result[None, PlatformError | JobLost]:
         """Take a job whose items are all listed off the open ones."""
-        row = name_row(TABLE_OPEN, job.key)
+        row = make_row_key(TABLE_OPEN, job.key)
         closing = Transaction(deletes=(row,), conditions=((row, job.version),))
         closed = await self._store.async_commit(closing)
         if isinstance(closed, Ok):
@@ -242,7 +240,7 @@
         Rows of a job that is finished, ended or another daemon's must not come back: nothing would
         remove them.
         """
-        open_row = name_row(TABLE_OPEN, job.key)
+        open_row = make_row_key(TABLE_OPEN, job.key)
         puts = tuple(encode_progress(job.key, saved) for saved in progress)
         saving = Transaction(puts, conditions=((open_row, job.version),))
         committed = await self._store.async_commit(saving)
@@ -250,8 +248,8 @@
 
     async def async_read_progress(self, key: JobKey) -> Result[list[SavedProgress], PlatformError]:
         """Return what the items that are not listed have brought, as far as it was saved."""
-        first = name_progress(key, 0)
-        end = name_row(first.table, key, "0").key
+        first = make_progress_key(key, 0)
+        end = make_row_key(first.table, key, "0").key
         read = await async_read_all(self._store, RowRange(first.table, first.part, first.key, end))
         return read.map(lambda page: decode_progress(page.rows))
 
@@ -283,7 +281,7 @@
             cleared = await self._async_clear(table, record.key)
             if isinstance(cleared, Err):
                 return cleared
-        rows = (name_row(TABLE_JOBS, record.key), name_row(TABLE_ENDS, record.key))
+        rows = (make_row_key(TABLE_JOBS, record.key), make_row_key(TABLE_ENDS, record.key))
         removed = await self._store.async_commit(Transaction(deletes=rows))
         if isinstance(removed, Err):
             return removed
@@ -291,10 +289,10 @@
 
     async def _async_clear(self, table: str, key: JobKey) -> Result[None, PlatformError]:
         """Remove all rows of a job's items from one table."""
-        first, end = name_row(table, key, "/"), name_row(table, key, "0").key
+        first, end = make_row_key(table, key, "/"), make_row_key(table, key, "0").key
         while True:
-            wanted = RowRange(table, first.part, first.key, end, limit=MAX_COMMIT_ENTRIES)
-            read = await self._store.async_read(wanted)
+            row_range = RowRange(table, first.part, first.key, end, limit=MAX_COMMIT_ENTRIES)
+            read = await self._store.async_read(row_range)
             if isinstance(read, Err):
                 return read
             rows = tuple(row.key for row in read.ok_value.rows)
@@ -318,7 +316,7 @@
         read = await self._store.async_read(RowRange(TABLE_JOBS, customer))
         if isinstance(read, Err):
             return read
-        self.time.note(read.ok_value.now_ms)
+        self.store_clock.update(read.ok_value.now_ms)
         return Ok([decode_record(row) for row in read.ok_value.rows])
 
     async def _async_read_usage(self, submission: Submission) -> Result[Usage, JobError]:
@@ -330,7 +328,7 @@
         if isinstance(listed, Err):
             return Err(JobError(listed.err_value.message))
         page = order.ok_value
-        self.time.note(page.now_ms)
+        self.store_clock.update(page.now_ms)
         version = next((row.version for row in page.rows if row.key.key == route), 0)
         jobs = listed.ok_value
         waiting = sum(job.waiting_tokens for job in jobs.values() if job.route == route)
@@ -371,7 +369,7 @@
             submission.route,
             tuple(0 for _ in submission.items),
         )
-        job_row, open_row = name_row(TABLE_JOBS, key), name_row(TABLE_OPEN, key)
+        job_row, open_row = make_row_key(TABLE_JOBS, key), make_row_key(TABLE_OPEN, key)
         order_row = RowKey(TABLE_ORDER, key.customer, submission.route)
         conditions = [(job_row, 0)]
         puts = [(job_row, encode_record(record)), (open_row, encode_open(opened))]
@@ -387,7 +385,7 @@
             if isinstance(committed, Err) and not isinstance(committed.err_value, RowsConflict):
                 return Err(JobError(committed.err_value.message, JobProblem.UNKNOWN))
         if isinstance(committed, Ok):
-            self.time.note(committed.ok_value.now_ms)
+            self.store_clock.update(committed.ok_value.now_ms)
             return Ok((record, replace(opened, version=committed.ok_value.version)))
         return await self._async_read_conflict(committed.err_value, record, opened)
 
@@ -412,7 +410,7 @@
         puts: tuple[tuple[RowKey, bytes], ...],
         deletes: tuple[RowKey, ...] = (),
     ) -> Result[OpenJob, PlatformError | JobLost]:
-        row = name_row(TABLE_OPEN, before.key)
+        row = make_row_key(TABLE_OPEN, before.key)
         transaction = Transaction(
             (*puts, (row, encode_open(after))), deletes, ((row, before.version),)
         )
@@ -425,7 +423,7 @@
         self, committed: Result[Committed, PlatformError | RowsConflict], after: OpenJob
     ) -> Result[OpenJob, PlatformError | JobLost]:
         if isinstance(committed, Ok):
-            self.time.note(committed.ok_value.now_ms)
+            self.store_clock.update(committed.ok_value.now_ms)
             return Ok(replace(after, version=committed.ok_value.version))
         error = committed.err_value
         if not isinstance(error, RowsConflict):
@@ -441,12 +439,15 @@
     async def _async_commit_end(
         self, record: JobRecord, opened: OpenJob
     ) -> Result[Committed, PlatformError | RowsConflict]:
-        open_row = name_row(TABLE_OPEN, record.key)
+        open_row = make_row_key(TABLE_OPEN, record.key)
         return await self._store.async_commit(
             Transaction(
                 puts=(
-                    (name_row(TABLE_JOBS, record.key), encode_record(replace(record, ended=True))),
-                    (name_row(TABLE_ENDS, record.key), opened.owner.encode()),
+                    (
+                        make_row_key(TABLE_JOBS, record.key),
+                        encode_record(replace(record, ended=True)),
+                    ),
+                    (make_row_key(TABLE_ENDS, record.key), opened.owner.encode()),
                 ),
                 deletes=(open_row,),
                 conditions=((open_row, opened.version),),
@@ -454,10 +455,10 @@
         )
 
     async def _async_read_row(self, key: RowKey) -> Result[StoredRow | None, PlatformError]:
-        wanted = RowRange(key.table, key.part, key.key, key.key + "\0", limit=1)
-        read = await self._store.async_read(wanted)
+        row_range = RowRange(key.table, key.part, key.key, key.key + "\0", limit=1)
+        read = await self._store.async_read(row_range)
         if isinstance(read, Err):
             return read
-        self.time.note(read.ok_value.now_ms)
+        self.store_clock.update(read.ok_value.now_ms)
         rows = read.ok_value.rows
         return Ok(rows[0] if rows else None)
--- a/goldcreststair/components/jobs/registry.py
+++ b/goldcreststair/components/jobs/registry.py
@@ -21,7 +21,7 @@
     RUNNING = "running"
     FINISHED = "finished"
     """Its result is known and not listed."""
-    LISTED = "listed"
+    COMMITTED = "committed"
 
 
 @dataclass(slots=True)
@@ -36,9 +36,9 @@
     state: ItemState = ItemState.WAITING
     failures: int = 0
     """Runs that an upstream answered with a failure."""
-    lost: int = 0
+    lost_runs: int = 0
     """Runs in a row that brought nothing and no answer."""
-    silent: int = 0
+    silent_runs: int = 0
     """Runs in a row that were given up as silent."""
     not_before: Millis = Millis(0)
     last_event: int = 0
@@ -62,12 +62,12 @@
     items: list[ItemProgress]
     due_at: Millis
     """When all results are due, on this daemon's clock."""
-    gives_up_at: Millis
+    expires_at: Millis
     """When items may be given up, on this daemon's clock."""
     finished: list[tuple[ItemProgress, ItemResult]] = field(default_factory=list)
     """Results in the order in which they will be listed."""
-    listed: list[ItemResult] = field(default_factory=list)
-    routeless_at: Millis | None = None
+    committed: list[ItemResult] = field(default_factory=list)
+    route_missing_since: Millis | None = None
     """Since when its route is missing here."""
     lost: bool = False
     """Whether another daemon owns it, or it has ended."""
@@ -78,16 +78,16 @@
         return self.record.key
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every item is listed."""
-        return len(self.listed) == len(self.items)
+        return len(self.committed) == len(self.items)
 
     def find(self, item: str) -> ItemProgress | None:
         """Return one item."""
         return next((found for found in self.items if found.item.item == item), None)
 
 
-ReadLeft = Callable[[ItemProgress], float]
+EstimateRemaining = Callable[[ItemProgress], float]
 """Returns how many ms an item takes from a start now to its end."""
 
 
@@ -97,21 +97,23 @@
 
     job: OwnedJob
     item: ItemProgress
-    hopeless: bool
+    late: bool
     """Whether it cannot be in time any more."""
 
 
-class JobBook:
+class JobRegistry:
     """All jobs that this daemon runs."""
 
     def __init__(self) -> None:
         """Start with none."""
         self.jobs: dict[JobKey, OwnedJob] = {}
 
-    def list_startable(self, now: Millis, read_left_ms: ReadLeft) -> list[RankedItem]:
+    def list_startable(
+        self, now: Millis, estimate_remaining_ms: EstimateRemaining
+    ) -> list[RankedItem]:
         """Return the items that may start, the most urgent first."""
         found = [
-            RankedItem(job, item, is_hopeless(job, now, read_left_ms(item)))
+            RankedItem(job, item, is_late(job, now, estimate_remaining_ms(item)))
             for job in self.jobs.values()
             if not job.lost
             for item in job.items
@@ -119,24 +121,24 @@
         ]
         return sorted(found, key=_rank)
 
-    def list_given_up(self, now: Millis) -> Iterator[tuple[OwnedJob, ItemProgress]]:
+    def list_expired(self, now: Millis) -> Iterator[tuple[OwnedJob, ItemProgress]]:
         """Yield the items whose time to wait is over and that do not run."""
         for job in self.jobs.values():
-            if job.lost or now < job.gives_up_at:
+            if job.lost or now < job.expires_at:
                 continue
             for item in job.items:
                 if item.state is ItemState.WAITING:
                     yield job, item
 
 
-def is_hopeless(job: OwnedJob, now: Millis, left_ms: float) -> bool:
+def is_late(job: OwnedJob, now: Millis, remaining_ms: float) -> bool:
     """Return whether an item that takes so long cannot be in time."""
-    return now + left_ms > job.due_at
+    return now + remaining_ms > job.due_at
 
 
 def _rank(ranked: RankedItem) -> tuple[bool, bool, int, int]:
     item = ranked.item
-    return ranked.hopeless, item.last_event == 0, ranked.job.due_at, item.number
+    return ranked.late, item.last_event == 0, ranked.job.due_at, item.number
 
 
 class RunningItem(Protocol):
@@ -149,13 +151,13 @@
 R = TypeVar("R", bound=RunningItem)
 
 
-def choose_yielding(
-    running: Iterable[R], count: int, now: Millis, read_left_ms: ReadLeft
+def choose_preempted(
+    running: Iterable[R], count: int, now: Millis, estimate_remaining_ms: EstimateRemaining
 ) -> list[R]:
     """Return the runs that give way: what is hopeless first, then what has most left to do."""
 
     def rank(run: R) -> tuple[bool, float]:
-        left_ms = read_left_ms(run.item)
-        return is_hopeless(run.job, now, left_ms), left_ms
+        remaining_ms = estimate_remaining_ms(run.item)
+        return is_late(run.job, now, remaining_ms), remaining_ms
 
     return sorted(running, key=rank, reverse=True)[:count]
--- a/goldcreststair/components/jobs/remote.py
+++ b/goldcreststair/components/jobs/remote.py
@@ -18,7 +18,7 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-ASK_TIMEOUT_MS: Final = 2_500
+CALL_TIMEOUT_MS: Final = 2_500
 """For one call: the other daemon's store answers within 300 ms where it is slow, and a reader may
 wait a second for a result."""
 MAX_TRIES: Final = 2
@@ -32,15 +32,15 @@
         self,
         links: FleetLinks,
         choose: Callable[[list[str]], str],
-        keep_inside: Callable[[Iterable[str], Regions], list[str]],
+        filter_by_region: Callable[[Iterable[str], Regions], list[str]],
     ) -> None:
         """Ask over `links`; `choose` picks one of the sessions that `keep_inside` finds in some regions."""
         self._links = links
         self._choose = choose
-        self._keep_inside = keep_inside
+        self._filter_by_region = filter_by_region
 
     @property
-    def is_there(self) -> bool:
+    def is_available(self) -> bool:
         """Whether there is a daemon to ask."""
         return bool(self._links.list_with_store())
 
@@ -57,43 +57,45 @@
             submission.max_wait_ms,
             submission.max_waiting_tokens,
         )
-        return (await self._async_ask(call, submission.regions)).map(lambda _: None)
+        return (await self._async_call_any(call, submission.regions)).map(lambda _: None)
 
     async def async_read_results(
         self, key: JobKey, position: int, wait_ms: int
     ) -> Result[ResultPage, JobError]:
         """Have results read."""
         call = JobCall(JobVerb.READ, key.customer, key.job, position=position, wait_ms=wait_ms)
-        asked = await self._async_ask(call)
-        if isinstance(asked, Err):
-            return asked
-        reply = asked.ok_value
+        answer = await self._async_call_any(call)
+        if isinstance(answer, Err):
+            return answer
+        reply = answer.ok_value
         results = tuple(ItemResult(r.item, r.done, r.text) for r in reply.results or ())
         return Ok(ResultPage(reply.total or 0, results, position + len(results)))
 
     async def async_read_body(self, key: JobKey, item: str) -> Result[bytes, JobError]:
         """Have a body read."""
         call = JobCall(JobVerb.BODY, key.customer, key.job, item=item)
-        return (await self._async_ask(call)).map(lambda reply: reply.body or b"")
+        return (await self._async_call_any(call)).map(lambda reply: reply.body or b"")
 
     async def async_end(self, key: JobKey) -> Result[None, JobError]:
         """Have a job ended."""
-        return (await self._async_ask(JobCall(JobVerb.END, key.customer, key.job))).map(
+        return (await self._async_call_any(JobCall(JobVerb.END, key.customer, key.job))).map(
             lambda _: None
         )
 
-    async def _async_ask(self, call: JobCall, regions: Regions = None) -> Result[Any, JobError]:
+    async def _async_call_any(
+        self, call: JobCall, regions: Regions = None
+    ) -> Result[Any, JobError]:
         error = JobError("the store answers no daemon that is heard")
         for _ in range(MAX_TRIES):
-            sessions = self._keep_inside(self._links.list_with_store(), regions)
+            sessions = self._filter_by_region(self._links.list_with_store(), regions)
             if not sessions:
                 break
-            asked = await self._links.async_ask(
-                self._choose(sessions), AskKind.JOB, encode_struct(call), ASK_TIMEOUT_MS
+            answer = await self._links.async_ask(
+                self._choose(sessions), AskKind.JOB, encode_struct(call), CALL_TIMEOUT_MS
             )
-            if isinstance(asked, Ok):
-                return _read_reply(asked.ok_value)
-            message, not_sent = asked.err_value.message, asked.err_value.not_sent
+            if isinstance(answer, Ok):
+                return _read_reply(answer.ok_value)
+            message, not_sent = answer.err_value.message, answer.err_value.not_sent
             problem = JobProblem.UNAVAILABLE if not_sent else JobProblem.UNKNOWN
             error = JobError(message, problem)
             if not not_sent:
@@ -111,17 +113,17 @@
     return Ok(reply)
 
 
-async def async_answer(jobs: Jobs, question: bytes) -> bytes:
+async def async_answer_call(jobs: Jobs, question: bytes) -> bytes:
     """Make a call for another daemon; returns the encoded reply."""
     decoded = decode_struct(JobCall, question)
     if isinstance(decoded, Err):
         reply = JobReply(JobProblem.UNAVAILABLE.value, decoded.err_value.message)
     else:
-        reply = await _async_make(jobs, decoded.ok_value)
+        reply = await _async_execute(jobs, decoded.ok_value)
     return encode_struct(reply)
 
 
-async def _async_make(jobs: Jobs, call: Any) -> JobReply:
+async def _async_execute(jobs: Jobs, call: Any) -> JobReply:
     key = JobKey(call.customer, call.job)
     if call.verb == JobVerb.SUBMIT:
         submission = Submission(
--- a/goldcreststair/components/jobs/result_writer.py
+++ b/goldcreststair/components/jobs/result_writer.py
@@ -15,7 +15,7 @@
 )
 from goldcreststair.components.jobs.errors import JobLost
 from goldcreststair.components.jobs.models import ItemResult
-from goldcreststair.components.jobs.records import JobRecords, Listing
+from goldcreststair.components.jobs.records import JobRecords, ResultCommit
 from goldcreststair.components.jobs.registry import ItemState, OwnedJob
 from goldcreststair.gateway_core import GatewayCore
 
@@ -23,20 +23,20 @@
 
 OnLost = Callable[[OwnedJob, str], None]
 """Takes a job that is not this daemon's any more, and why."""
-OnListed = Callable[[OwnedJob], None]
+OnCommitted = Callable[[OwnedJob], None]
 """Takes a job of which more is listed."""
 
 
-class JobLister:
+class ResultWriter:
     """Goes on through outages of the store: what is finished is kept until it is listed."""
 
     def __init__(
-        self, core: GatewayCore, records: JobRecords, on_listed: OnListed, on_lost: OnLost
+        self, core: GatewayCore, records: JobRecords, on_committed: OnCommitted, on_lost: OnLost
     ) -> None:
         """List nothing yet."""
         self._clock = core.clock
         self._records = records
-        self._on_listed = on_listed
+        self._on_committed = on_committed
         self._on_lost = on_lost
         self._tasks: dict[OwnedJob, asyncio.Task[None]] = {}
         """By stay of a job with this daemon: one that comes back has nothing to do with its former listing."""
@@ -48,7 +48,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def list_soon(self, job: OwnedJob) -> None:
+    def schedule(self, job: OwnedJob) -> None:
         """List what a job has finished, and what it finishes meanwhile."""
         if job not in self._tasks:
             self._tasks[job] = asyncio.create_task(self._async_run(job))
@@ -59,54 +59,54 @@
 
     async def _async_run(self, job: OwnedJob) -> None:
         try:
-            await self._async_list(job)
+            await self._async_commit_finished(job)
         finally:
             # Within its last step: a result that comes before a callback of its end would be left.
             del self._tasks[job]
 
-    async def _async_list(self, job: OwnedJob) -> None:
+    async def _async_commit_finished(self, job: OwnedJob) -> None:
         while job.finished and not job.lost:
-            listing, count = self._prepare(job)
-            if not await self._async_settle(job, listing):
+            commit, count = self._prepare(job)
+            if not await self._async_commit(job, commit):
                 return
             done = job.finished[:count]
             del job.finished[:count]
             for item, result in done:
-                item.state = ItemState.LISTED
-                job.listed.append(result)
-            self._on_listed(job)
-        if job.is_whole and not job.lost:
+                item.state = ItemState.COMMITTED
+                job.committed.append(result)
+            self._on_committed(job)
+        if job.is_complete and not job.lost:
             await self._async_close_job(job)
 
-    def _prepare(self, job: OwnedJob) -> tuple[Listing, int]:
-        taken: list[tuple[int, ItemResult]] = []
+    def _prepare(self, job: OwnedJob) -> tuple[ResultCommit, int]:
+        chosen: list[tuple[int, ItemResult]] = []
         saved: list[int] = []
         entries = size = 0
         for item, result in job.finished:
             entries += 1 + len(result.text) // TEXT_PART_BYTES + bool(item.saved_event)
             size += len(result.text)
-            if taken and (entries > MAX_COMMIT_ENTRIES or size > MAX_COMMIT_BYTES):
+            if chosen and (entries > MAX_COMMIT_ENTRIES or size > MAX_COMMIT_BYTES):
                 break
-            taken.append((item.item.tokens, result))
+            chosen.append((item.item.tokens, result))
             if item.saved_event:
                 saved.append(item.number)
         failures = tuple(item.failures for item in job.items)
-        return self._records.prepare_listing(job.open, taken, failures, saved), len(taken)
+        return self._records.prepare_commit(job.open, chosen, failures, saved), len(chosen)
 
-    async def _async_settle(self, job: OwnedJob, listing: Listing) -> bool:
+    async def _async_commit(self, job: OwnedJob, commit: ResultCommit) -> bool:
         """Try one listing until it is made or the job is lost; returns whether it was made."""
         pause_ms = COMMIT_RETRY_MS
         while not job.lost:
-            listed = await self._records.async_list_results(listing)
-            if isinstance(listed, Ok):
-                job.open = listed.ok_value
+            result = await self._records.async_commit_results(commit)
+            if isinstance(result, Ok):
+                job.open = result.ok_value
                 return True
-            error = listed.err_value
+            error = result.err_value
             if isinstance(error, JobLost):
                 self._on_lost(job, "ended" if error.ended else error.message)
                 return False
             # The results stay here meanwhile: run again, they would cost their slots twice.
-            extra = {"job": job.key.job, "results": len(listing.puts), "reason": error.message}
+            extra = {"job": job.key.job, "results": len(commit.puts), "reason": error.message}
             _LOGGER.warning("Results not listed yet", extra=extra)
             await self._clock.async_sleep(pause_ms)
             pause_ms = min(MAX_COMMIT_RETRY_MS, pause_ms * 2)
--- a/goldcreststair/components/jobs/router.py
+++ b/goldcreststair/components/jobs/router.py
@@ -21,17 +21,17 @@
 class JobRouter:
     """Implements `Jobs` over the daemon's own jobs and those of others."""
 
-    def __init__(self, own: LocalJobs, remote: RemoteJobs, contact: StoreContact) -> None:
+    def __init__(self, local: LocalJobs, remote: RemoteJobs, contact: StoreContact) -> None:
         """Prefer `own` while the store answers."""
-        self._own = own
+        self._local = local
         self._remote = remote
         self._contact = contact
 
     async def async_submit(self, submission: Submission) -> Result[None, JobError]:
         """Accept a job; a repeated one is accepted once."""
         return await self._async_call(
-            self._own.can_accept,
-            lambda: self._own.async_submit(submission),
+            self._local.can_accept,
+            lambda: self._local.async_submit(submission),
             lambda: self._remote.async_submit(submission),
         )
 
@@ -40,16 +40,16 @@
     ) -> Result[ResultPage, JobError]:
         """Return the results from a position on."""
         return await self._async_call(
-            self._own.knows_results(key, position),
-            lambda: self._own.async_read_results(key, position, wait_ms),
+            self._local.can_read_results(key, position),
+            lambda: self._local.async_read_results(key, position, wait_ms),
             lambda: self._remote.async_read_results(key, position, wait_ms),
         )
 
     async def async_read_body(self, key: JobKey, item: str) -> Result[bytes, JobError]:
         """Return the body of an item."""
         return await self._async_call(
-            self._own.knows_items(key),
-            lambda: self._own.async_read_body(key, item),
+            self._local.can_read_items(key),
+            lambda: self._local.async_read_body(key, item),
             lambda: self._remote.async_read_body(key, item),
         )
 
@@ -57,20 +57,20 @@
         """End a job."""
         return await self._async_call(
             not self._contact.is_away(),
-            lambda: self._own.async_end(key),
+            lambda: self._local.async_end(key),
             lambda: self._remote.async_end(key),
         )
 
     async def _async_call(
         self,
-        here: bool,
-        call_own: Callable[[], Awaitable[Result[T, JobError]]],
+        prefer_local: bool,
+        call_local: Callable[[], Awaitable[Result[T, JobError]]],
         call_remote: Callable[[], Awaitable[Result[T, JobError]]],
     ) -> Result[T, JobError]:
         """Make a call here if it can succeed here, else elsewhere if that can."""
-        if not here:
+        if not prefer_local:
             return await call_remote()
-        done = await call_own()
+        done = await call_local()
         failed = isinstance(done, Err) and done.err_value.problem is JobProblem.UNAVAILABLE
         # Nothing was done here, and others may still reach the store.
-        return await call_remote() if failed and self._remote.is_there else done
+        return await call_remote() if failed and self._remote.is_available else done
--- a/goldcreststair/components/jobs/runner.py
+++ b/goldcreststair/components/jobs/runner.py
@@ -6,7 +6,11 @@
 from result import Err, Ok, Result
 
 from goldcreststair.clock import Clock, Millis
-from goldcreststair.components.jobs.const import FIRST_MS, GAP_MS, MAX_PATIENCE_DOUBLINGS
+from goldcreststair.components.jobs.const import (
+    EVENT_TIMEOUT_MS,
+    FIRST_EVENT_TIMEOUT_MS,
+    MAX_TIMEOUT_DOUBLINGS,
+)
 from goldcreststair.components.jobs.registry import ItemProgress
 from goldcreststair.const import MS_PER_SECOND
 from goldcreststair.upstreams.dialect import RunCall, RunHead
@@ -15,7 +19,7 @@
 from goldcreststair.upstreams.runner import RunEnd, Runner
 
 STATUS_OK = 200
-WATCH_MS = 200
+CHECK_INTERVAL_MS = 200
 
 
 class ItemSink:
@@ -25,20 +29,20 @@
         self,
         item: ItemProgress,
         clock: Clock,
-        on_head: Callable[[RunHead], None],
-        on_data: Callable[[], None],
+        report_head: Callable[[RunHead], None],
+        report_data: Callable[[], None],
     ) -> None:
         """Go on after the item's last event."""
         self.streams = True
-        self.progress_at = clock.now()
+        self.last_progress_at = clock.now()
         self.events = 0
-        self.patience = 1 << min(item.silent, MAX_PATIENCE_DOUBLINGS)
+        self.timeout_factor = 1 << min(item.silent_runs, MAX_TIMEOUT_DOUBLINGS)
         self._item = item
         self._clock = clock
-        self._on_head = on_head
-        self._on_data = on_data
+        self._report_head = report_head
+        self._report_data = report_data
         self._splitter = EventSplitter()
-        self._gap = False
+        self._has_gap = False
         self._closed = False
 
     def close(self) -> None:
@@ -46,26 +50,26 @@
         self._closed = True
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the bytes end with a whole event and none is missing."""
-        return not self._gap and not self._splitter.has_rest
+        return not self._has_gap and not self._splitter.has_rest
 
     def take_head(self, head: RunHead) -> None:
         """Note a sign of life."""
-        self.progress_at = self._clock.now()
-        self._on_head(head)
+        self.last_progress_at = self._clock.now()
+        self._report_head(head)
 
     def take_data(self, chunk: bytes) -> None:
         """Keep the events that this piece completes."""
         if self._closed:
             return
-        self.progress_at = self._clock.now()
-        self._on_data()
+        self.last_progress_at = self._clock.now()
+        self._report_data()
         for event in self._splitter.feed(chunk):
             self.events += 1
             # A text with an event twice or left out is no result: each has its number.
-            if self._gap or event.number != self._item.last_event + 1:
-                self._gap = self._gap or event.number > self._item.last_event + 1
+            if self._has_gap or event.number != self._item.last_event + 1:
+                self._has_gap = self._has_gap or event.number > self._item.last_event + 1
                 continue
             self._item.last_event = event.number
             self._item.data.append(event.data)
@@ -83,12 +87,12 @@
     looked_at = counted_from = clock.now()
     try:
         while True:
-            done, _ = await asyncio.wait({run}, timeout=WATCH_MS / MS_PER_SECOND)
+            done, _ = await asyncio.wait({run}, timeout=CHECK_INTERVAL_MS / MS_PER_SECOND)
             if done:
-                return _judge(run.result(), sink)
+                return _check_events(run.result(), sink)
             now = clock.now()
             # Kept from reading, this process sees silence where there is none.
-            if now - looked_at > 2 * WATCH_MS:
+            if now - looked_at > 2 * CHECK_INTERVAL_MS:
                 counted_from = now
             looked_at = now
             if _is_silent(sink, now, counted_from):
@@ -98,11 +102,13 @@
 
 
 def _is_silent(sink: ItemSink, now: Millis, counted_from: Millis) -> bool:
-    patience_ms = (GAP_MS if sink.events else FIRST_MS) * sink.patience
-    return now - max(sink.progress_at, counted_from) > patience_ms
+    timeout_ms = (EVENT_TIMEOUT_MS if sink.events else FIRST_EVENT_TIMEOUT_MS) * sink.timeout_factor
+    return now - max(sink.last_progress_at, counted_from) > timeout_ms
 
 
-def _judge(end: Result[RunEnd, UpstreamError], sink: ItemSink) -> Result[RunEnd, UpstreamError]:
-    if isinstance(end, Ok) and end.ok_value.head.status == STATUS_OK and not sink.is_whole:
+def _check_events(
+    end: Result[RunEnd, UpstreamError], sink: ItemSink
+) -> Result[RunEnd, UpstreamError]:
+    if isinstance(end, Ok) and end.ok_value.head.status == STATUS_OK and not sink.is_complete:
         return Err(UpstreamError("events are missing", UpstreamFailure.INCOMPLETE))
     return end
--- a/goldcreststair/components/jobs/service.py
+++ b/goldcreststair/components/jobs/service.py
@@ -16,7 +16,7 @@
     IDLE_MS,
     LEASE_MS,
     TICK_MS,
-    URGENT_NEWS_MS,
+    WAITING_REPORT_TTL_MS,
 )
 from goldcreststair.components.jobs.errors import JobError, JobProblem
 from goldcreststair.components.jobs.estimate import Pace, WorkEstimate
@@ -32,11 +32,11 @@
     SavedProgress,
     Submission,
 )
-from goldcreststair.components.jobs.reading import JobReader, cut_page
+from goldcreststair.components.jobs.reading import JobReader, make_page
 from goldcreststair.components.jobs.records import JobRecords
-from goldcreststair.components.jobs.registry import ItemProgress, ItemState, JobBook, OwnedJob
-from goldcreststair.components.jobs.remote import async_answer
-from goldcreststair.components.jobs.result_writer import JobLister
+from goldcreststair.components.jobs.registry import ItemProgress, ItemState, JobRegistry, OwnedJob
+from goldcreststair.components.jobs.remote import async_answer_call
+from goldcreststair.components.jobs.result_writer import ResultWriter
 from goldcreststair.components.jobs.sweeping import JobSweeper
 from goldcreststair.gateway_core import GatewayCore
 from goldcreststair.wire.codec import decode_struct, encode_struct
@@ -46,9 +46,9 @@
 
 DEFAULT_DUE_MS: Final = 60_000
 """For jobs whose route is gone."""
-KEPT_ENDS: Final = 10_000
+MAX_RECENT_ENDS: Final = 10_000
 """More jobs than end while one is read from the store."""
-DOUBT_MS: Final = 250
+RECHECK_MS: Final = 250
 """How often jobs in doubt are looked up."""
 
 
@@ -62,40 +62,40 @@
         self._links = core.get(FLEET_LINKS)
         self._records = JobRecords(core.adapter.store, core.clock)
         self._reader = JobReader(self._records, core.clock)
-        self._book = JobBook()
-        self._lister = JobLister(core, self._records, self._on_listed, self._drop)
+        self._registry = JobRegistry()
+        self._writer = ResultWriter(core, self._records, self._on_committed, self._drop)
         self.estimate = WorkEstimate()
         """What items of each route take, as far as it is known here."""
         self._executor = ItemExecutor(
-            core, self._book, self._lister, self.estimate, self._count_others_urgent
+            core, self._registry, self._writer, self.estimate, self._count_waiting_elsewhere
         )
         self._checkpoints = CheckpointWriter(
-            core, self._book, self._records, self._lister, self.doubt
+            core, self._registry, self._records, self._writer, self.recheck
         )
-        self._others_urgent: dict[str, tuple[Millis, int]] = {}
+        self._waiting_elsewhere: dict[str, tuple[Millis, int]] = {}
         """By session: when it was heard, and how many of its items wait that can be in time."""
-        self._handover = JobHandover(core, self._book, self._records, self._lister, self)
+        self._handover = JobHandover(core, self._registry, self._records, self._writer, self)
         self._sweeper = JobSweeper(core, self._records, self)
-        self._doubted: set[JobKey] = set()
+        self._unconfirmed: set[JobKey] = set()
         """Jobs that may have another owner by now; the store is asked before readers are told."""
         self._loading: dict[JobKey, asyncio.Task[None]] = {}
-        self._ended: OrderedDict[JobKey, None] = OrderedDict()
+        self._recently_ended: OrderedDict[JobKey, None] = OrderedDict()
         """Jobs whose end was heard of late, the last ones."""
         self._leaving = False
-        self._has_jobs = asyncio.Event()
+        self._jobs_added = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
-        self._changed: dict[JobKey, asyncio.Event] = {}
-        self._links.contribute(self._contribute)
-        self._links.watch(self._on_beacon, self._forget)
+        self._result_events: dict[JobKey, asyncio.Event] = {}
+        self._links.contribute(self._fill_beacon)
+        self._links.watch(self._on_beacon, self._on_daemon_gone)
         self._links.on_notice(DatagramKind.JOB_NOTICE, self._on_notice)
-        self._links.on_ask(AskKind.JOB, lambda question: async_answer(self, question))
-        core.on_awake.append(lambda _: self.doubt_all())
+        self._links.on_ask(AskKind.JOB, lambda question: async_answer_call(self, question))
+        core.on_awake.append(lambda _: self.recheck_all())
 
     async def async_start(self) -> None:
         """Begin to run and to look for jobs without an owner."""
         self._tasks = [
             asyncio.create_task(self._async_tick()),
-            asyncio.create_task(self._async_settle_doubts()),
+            asyncio.create_task(self._async_recheck_ownership()),
         ]
         await self._sweeper.async_start()
         await self._checkpoints.async_start()
@@ -109,7 +109,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         await self._executor.async_close()
-        await self._lister.async_close()
+        await self._writer.async_close()
 
     async def async_submit(self, submission: Submission) -> Result[None, JobError]:
         """Accept a job; a repeated one is accepted once."""
@@ -133,26 +133,26 @@
         record, opened = accepted.ok_value
         _LOGGER.info("Job accepted", extra=extra | {"items": record.items})
         self._core.meters.count_job("accepted")
-        self._reader.note_record(record)
-        self._own(record, opened, submission.items)
+        self._reader.cache_record(record)
+        self._add_job(record, opened, submission.items)
         return Ok(None)
 
     async def async_read_results(
         self, key: JobKey, position: int, wait_ms: int
     ) -> Result[ResultPage, JobError]:
         """Return the results from a position on; waits for one up to `wait_ms`."""
-        job = self._find_certain(key)
+        job = self._find_confirmed(key)
         if job is None:
             return await self._reader.async_read(key, position, wait_ms)
-        if position >= len(job.listed) and not job.is_whole and wait_ms > 0:
+        if position >= len(job.committed) and not job.is_complete and wait_ms > 0:
             await self._async_wait_for(key, wait_ms)
-            if self._find_certain(key) is not job and not job.is_whole:
+            if self._find_confirmed(key) is not job and not job.is_complete:
                 return await self._reader.async_read(key, position, 0)
-        return Ok(cut_page(job.record.items, job.listed, position))
+        return Ok(make_page(job.record.items, job.committed, position))
 
     async def async_read_body(self, key: JobKey, item: str) -> Result[bytes, JobError]:
         """Return the body of an item."""
-        job = self._find_certain(key)
+        job = self._find_confirmed(key)
         if job is not None:
             items = tuple(progress.item for progress in job.items)
         else:
@@ -176,7 +176,7 @@
         if not ended.ok_value:
             return Err(JobError("no such job", JobProblem.MISSING))
         _LOGGER.info("Job ended", extra={"job": key.job, "customer": key.customer})
-        self._reader.forget(key)
+        self._reader.invalidate(key)
         self.drop_ended(key)
         return Ok(None)
 
@@ -186,15 +186,15 @@
         away = self._core.store_contact.is_away()
         return not (self._leaving or away) and self._links.is_registered()
 
-    def knows_results(self, key: JobKey, position: int) -> bool:
+    def can_read_results(self, key: JobKey, position: int) -> bool:
         """Return whether results from a position on can be told here now."""
-        if not self._core.store_contact.is_away() or self._find_certain(key) is not None:
+        if not self._core.store_contact.is_away() or self._find_confirmed(key) is not None:
             return True
-        return self._reader.knows(key, position)
+        return self._reader.has_results(key, position)
 
-    def knows_items(self, key: JobKey) -> bool:
+    def can_read_items(self, key: JobKey) -> bool:
         """Return whether a job's items can be told here now."""
-        return not self._core.store_contact.is_away() or self._find_certain(key) is not None
+        return not self._core.store_contact.is_away() or self._find_confirmed(key) is not None
 
     def begin_leave(self) -> None:
         """Hand over what does not run, and start nothing."""
@@ -204,7 +204,7 @@
 
     def count_running(self) -> int:
         """Return the jobs that are still here."""
-        return len(self._book.jobs) + len(self._loading)
+        return len(self._registry.jobs) + len(self._loading)
 
     def stop_accepting(self) -> None:
         """Do nothing: submissions are refused from the start of a leave."""
@@ -214,15 +214,15 @@
 
     def owns(self, key: JobKey) -> bool:
         """Return whether this daemon runs a job."""
-        return key in self._book.jobs or key in self._loading
+        return key in self._registry.jobs or key in self._loading
 
     def count_owned(self) -> int:
         """Return the jobs that this daemon runs."""
-        return len(self._book.jobs)
+        return len(self._registry.jobs)
 
     def count_waiting(self) -> int:
         """Return the items that wait for a slot here and can be in time."""
-        return self._executor.urgent_waiting
+        return self._executor.waiting_in_time
 
     def load(self, key: JobKey) -> None:
         """Take over a job that the store names as this daemon's; a leaving daemon hands it on."""
@@ -236,10 +236,10 @@
         """Stop a job that its caller ended."""
         # The news may come while the job is being read from the store, and is remembered: else the
         # daemon that takes it over would run what its caller was told has stopped.
-        self._ended[key] = None
-        if len(self._ended) > KEPT_ENDS:
-            self._ended.popitem(last=False)
-        job = self._book.jobs.get(key)
+        self._recently_ended[key] = None
+        if len(self._recently_ended) > MAX_RECENT_ENDS:
+            self._recently_ended.popitem(last=False)
+        job = self._registry.jobs.get(key)
         if job is not None:
             self._drop(job, "ended")
 
@@ -247,7 +247,7 @@
         """Return whether no item of a job runs."""
         return self._executor.is_idle(job)
 
-    def give_up(self, job: OwnedJob, session: str) -> None:
+    def release(self, job: OwnedJob, session: str) -> None:
         """Stop a job that is another daemon's now, and tell that one."""
         self._drop(job, f"handed over to {session}")
         self.notify(session, job.key)
@@ -257,10 +257,10 @@
         payload = encode_struct(JobNotice(key.customer, key.job))
         self._links.notify(session, DatagramKind.JOB_NOTICE, payload)
 
-    def _own(self, record: JobRecord, opened: OpenJob, items: tuple[JobItem, ...]) -> None:
-        if record.key in self._ended:
+    def _add_job(self, record: JobRecord, opened: OpenJob, items: tuple[JobItem, ...]) -> None:
+        if record.key in self._recently_ended:
             return
-        turn = self._records.time.turn
+        to_local = self._records.store_clock.to_local
         found = self._executor.find_route(record)
         due_ms = found.batch.due_ms if found is not None and found.batch else DEFAULT_DUE_MS
         route = hash_name(opened.route)
@@ -274,11 +274,11 @@
             record,
             opened,
             progress,
-            Millis(turn(record.submitted_at + due_ms)),
-            Millis(turn(record.submitted_at + record.max_wait_ms)),
+            Millis(to_local(record.submitted_at + due_ms)),
+            Millis(to_local(record.submitted_at + record.max_wait_ms)),
         )
-        self._book.jobs[record.key] = job
-        self._has_jobs.set()
+        self._registry.jobs[record.key] = job
+        self._jobs_added.set()
 
     async def _async_load(self, key: JobKey) -> None:
         opened = await self._records.async_find_open(key)
@@ -290,101 +290,101 @@
         if isinstance(record, Err) or record.ok_value is None:
             return
         content = await self._records.async_read_object(record.ok_value.body_object)
-        listed = await self._records.async_read_all_results(key, opened.ok_value.listed)
+        committed = await self._records.async_read_all_results(key, opened.ok_value.committed)
         progress = await self._records.async_read_progress(key)
-        if isinstance(content, Err) or isinstance(listed, Err) or isinstance(progress, Err):
+        if isinstance(content, Err) or isinstance(committed, Err) or isinstance(progress, Err):
             _LOGGER.warning("Job not loaded", extra={"job": key.job})
             return
         items = decode_items(content.ok_value)
-        self._own(record.ok_value, opened.ok_value, items)
-        job = self._book.jobs.get(key)
+        self._add_job(record.ok_value, opened.ok_value, items)
+        job = self._registry.jobs.get(key)
         if job is None:
             return
-        _restore(job, listed.ok_value, progress.ok_value)
-        self._reader.note_record(record.ok_value)
+        _restore(job, committed.ok_value, progress.ok_value)
+        self._reader.cache_record(record.ok_value)
         extra = {
             "job": key.job,
             "customer": key.customer,
-            "listed": len(job.listed),
+            "listed": len(job.committed),
             "begun": len(progress.ok_value),
         }
         _LOGGER.info("Job taken over", extra=extra)
         self._core.meters.count_job("taken_over")
-        if job.is_whole:
-            self._lister.list_soon(job)
+        if job.is_complete:
+            self._writer.schedule(job)
 
-    def doubt(self, job: OwnedJob) -> None:
+    def recheck(self, job: OwnedJob) -> None:
         """Ask the store again whether a job is this daemon's."""
-        self._doubted.add(job.key)
+        self._unconfirmed.add(job.key)
 
-    def doubt_all(self) -> None:
+    def recheck_all(self) -> None:
         """Ask the store again which jobs are this daemon's."""
-        self._doubted = set(self._book.jobs)
+        self._unconfirmed = set(self._registry.jobs)
 
-    async def _async_settle_doubts(self) -> None:
+    async def _async_recheck_ownership(self) -> None:
         """Keep the jobs whose rows still stand as this daemon wrote them."""
         while True:
-            await self._clock.async_sleep(DOUBT_MS if self._book.jobs else IDLE_MS)
-            for key in tuple(self._doubted):
-                job = self._book.jobs.get(key)
-                if job is None or not self._lister.is_idle(job):
+            await self._clock.async_sleep(RECHECK_MS if self._registry.jobs else IDLE_MS)
+            for key in tuple(self._unconfirmed):
+                job = self._registry.jobs.get(key)
+                if job is None or not self._writer.is_idle(job):
                     # A commit under way settles it as well.
-                    self._doubted.discard(key)
+                    self._unconfirmed.discard(key)
                     continue
                 opened = await self._records.async_find_open(key)
                 if isinstance(opened, Err):
                     break
-                self._doubted.discard(key)
+                self._unconfirmed.discard(key)
                 found = opened.ok_value
                 if found is None:
                     self._drop(job, "ended")
                 elif found.owner != self._core.session_id:
-                    self.give_up(job, found.owner)
+                    self.release(job, found.owner)
 
-    def _on_listed(self, job: OwnedJob) -> None:
+    def _on_committed(self, job: OwnedJob) -> None:
         self._wake_readers(job.key)
 
-    def _drop(self, job: OwnedJob, why: str) -> None:
-        if self._book.jobs.get(job.key) is not job:
+    def _drop(self, job: OwnedJob, reason: str) -> None:
+        if self._registry.jobs.get(job.key) is not job:
             return
-        _LOGGER.info("Job left", extra={"job": job.key.job, "reason": why})
+        _LOGGER.info("Job left", extra={"job": job.key.job, "reason": reason})
         self._core.meters.count_job("left")
         job.lost = True
-        del self._book.jobs[job.key]
-        self._reader.keep_results(job.record, job.listed)
-        self._executor.stop_job(job, why)
+        del self._registry.jobs[job.key]
+        self._reader.cache_results(job.record, job.committed)
+        self._executor.stop_job(job, reason)
         self._wake_readers(job.key)
 
-    def _find_certain(self, key: JobKey) -> OwnedJob | None:
+    def _find_confirmed(self, key: JobKey) -> OwnedJob | None:
         """Return a job whose listed results this daemon certainly knows."""
-        job = self._book.jobs.get(key)
+        job = self._registry.jobs.get(key)
         if job is None or job.lost:
             return None
         # Cut off or frozen for longer, this daemon may have been replaced, and what it takes for all
         # results be an old part of them: a reader would miss positions that it has seen before.
         if self._links.read_contact_age_ms() > LEASE_MS:
-            self.doubt_all()
-        return None if key in self._doubted else job
+            self.recheck_all()
+        return None if key in self._unconfirmed else job
 
-    def _contribute(self, beacon: Beacon) -> None:
-        beacon.batch_waiting = self._executor.urgent_waiting or None
+    def _fill_beacon(self, beacon: Beacon) -> None:
+        beacon.batch_waiting = self._executor.waiting_in_time or None
         learned = self.estimate.list_learned()
         beacon.paces = [
             WorkPace(route, pace.events_per_token, pace.event_ms) for route, pace in learned.items()
         ] or None
 
     def _on_beacon(self, session: str, beacon: Beacon) -> None:
-        for heard in beacon.paces or ():
-            pace = Pace(heard.events_per_token, heard.event_ms)
-            self.estimate.hear(heard.route, pace)
-        self._others_urgent[session] = (self._clock.now(), beacon.batch_waiting or 0)
+        for reported in beacon.paces or ():
+            pace = Pace(reported.events_per_token, reported.event_ms)
+            self.estimate.apply_reported(reported.route, pace)
+        self._waiting_elsewhere[session] = (self._clock.now(), beacon.batch_waiting or 0)
 
-    def _forget(self, session: str) -> None:
-        self._others_urgent.pop(session, None)
+    def _on_daemon_gone(self, session: str) -> None:
+        self._waiting_elsewhere.pop(session, None)
 
-    def _count_others_urgent(self) -> int:
-        horizon = self._clock.now() - URGENT_NEWS_MS
-        return sum(count for at, count in self._others_urgent.values() if at >= horizon)
+    def _count_waiting_elsewhere(self) -> int:
+        horizon = self._clock.now() - WAITING_REPORT_TTL_MS
+        return sum(count for at, count in self._waiting_elsewhere.values() if at >= horizon)
 
     def _on_notice(self, sender: str, payload: bytes) -> None:
         decoded = decode_struct(JobNotice, payload)
@@ -396,12 +396,12 @@
 
     async def _async_tick(self) -> None:
         while True:
-            if not self._book.jobs:
-                self._has_jobs.clear()
-                await self._has_jobs.wait()
+            if not self._registry.jobs:
+                self._jobs_added.clear()
+                await self._jobs_added.wait()
             await self._clock.async_sleep(TICK_MS)
             if self._links.read_contact_age_ms() > LEASE_MS:
-                self.doubt_all()
+                self.recheck_all()
             try:
                 self._executor.tick()
             except Exception:
@@ -409,7 +409,7 @@
                 _LOGGER.exception("Batch tick failed")
 
     async def _async_wait_for(self, key: JobKey, wait_ms: int) -> None:
-        event = self._changed.setdefault(key, asyncio.Event())
+        event = self._result_events.setdefault(key, asyncio.Event())
         try:
             async with asyncio.timeout(wait_ms / 1000):
                 await event.wait()
@@ -417,18 +417,18 @@
             return
 
     def _wake_readers(self, key: JobKey) -> None:
-        event = self._changed.pop(key, None)
+        event = self._result_events.pop(key, None)
         if event is not None:
             event.set()
 
 
-def _restore(job: OwnedJob, listed: list[ItemResult], progress: list[SavedProgress]) -> None:
+def _restore(job: OwnedJob, committed: list[ItemResult], progress: list[SavedProgress]) -> None:
     """Put a job as far as its owners before had brought it."""
-    job.listed = listed
-    done = {result.item for result in listed}
+    job.committed = committed
+    done = {result.item for result in committed}
     for item in job.items:
         if item.item.item in done:
-            item.state = ItemState.LISTED
+            item.state = ItemState.COMMITTED
     for saved in progress:
         if saved.number >= len(job.items):
             extra = {"job": job.key.job, "number": saved.number}
--- a/goldcreststair/components/jobs/sweeping.py
+++ b/goldcreststair/components/jobs/sweeping.py
@@ -21,7 +21,7 @@
 )
 from goldcreststair.components.jobs.models import JobKey, OpenJob
 from goldcreststair.components.jobs.records import JobRecords
-from goldcreststair.components.jobs.sweep_assignments import Wards
+from goldcreststair.components.jobs.sweep_assignments import SweepAssignments
 from goldcreststair.const import MS_PER_SECOND
 from goldcreststair.gateway_core import GatewayCore
 from goldcreststair.helpers.rendezvous import score
@@ -43,7 +43,7 @@
     def drop_ended(self, key: JobKey) -> None:
         """Stop a job that its caller ended."""
 
-    def doubt_all(self) -> None:
+    def recheck_all(self) -> None:
         """Ask the store again which jobs are this daemon's."""
 
     def notify(self, session: str, key: JobKey) -> None:
@@ -62,14 +62,14 @@
         self._feed = TableFeed(core.adapter.store, core.clock, TABLE_ENDS, self, whole=False)
 
         self._sessions: frozenset[str] = frozenset()
-        self._ranked: tuple[frozenset[str], frozenset[str]] = (frozenset(), frozenset())
-        self._wards = Wards()
-        self._mine: list[str] = []
+        self._assigned_for: tuple[frozenset[str], frozenset[str]] = (frozenset(), frozenset())
+        self._assignments = SweepAssignments()
+        self._assigned: list[str] = []
         """Customers that this daemon looks at, by the daemons and customers of `_ranked`."""
-        self._seen: dict[JobKey, int] = {}
+        self._seen_versions: dict[JobKey, int] = {}
         """Versions of the last sweep."""
         self._sweeps = 0
-        self._vm_gone = asyncio.Event()
+        self._vm_lost = asyncio.Event()
         self._unsubscribe: Callable[[], None] = lambda: None
         self._task: asyncio.Task[None] | None = None
 
@@ -90,7 +90,7 @@
 
     def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
         """Take it that ends of jobs may have been missed."""
-        self._owner.doubt_all()
+        self._owner.recheck_all()
 
     def take_changes(self, rows: Sequence[StoredRow]) -> None:
         """Take jobs that their callers ended."""
@@ -105,24 +105,24 @@
 
     def _on_fleet(self, fleet: Fleet) -> None:
         if self._sessions - fleet.vms.keys():
-            self._vm_gone.set()
+            self._vm_lost.set()
         self._sessions = frozenset(fleet.vms)
 
-    async def _async_pause(self) -> None:
+    async def _async_wait_for_sweep(self) -> None:
         """Wait for the next sweep: soon after a VM has gone, whose jobs wait for a new owner."""
         await self._core.clock.async_sleep(SWEEP_SOON_MS)
         try:
             async with asyncio.timeout((SWEEP_MS - SWEEP_SOON_MS) / MS_PER_SECOND):
-                await self._vm_gone.wait()
+                await self._vm_lost.wait()
         except TimeoutError:
             return
         # Those who return together are heard one after the other; the owner is chosen among them.
-        self._vm_gone.clear()
+        self._vm_lost.clear()
         await self._core.clock.async_sleep(SWEEP_SOON_MS)
 
     async def _async_repeat(self) -> None:
         while True:
-            await self._async_pause()
+            await self._async_wait_for_sweep()
             try:
                 await self._async_sweep()
             except Exception:
@@ -134,47 +134,47 @@
         if not fleet.known or self._links.is_isolated():
             return
         self._sweeps += 1
-        for customer in self._find_mine(fleet):
+        for customer in self._list_assigned(fleet):
             await self._async_sweep_customer(customer)
 
-    def _find_mine(self, fleet: Fleet) -> list[str]:
+    def _list_assigned(self, fleet: Fleet) -> list[str]:
         """Return the customers whose jobs this daemon looks at."""
-        staying = list_able(self._core)
+        eligible = list_eligible(self._core)
         customers = frozenset(self._core.blackboard.read(CATALOGUE).customers)
-        if (staying, customers) != self._ranked:
-            self._ranked = (staying, customers)
-            self._wards.update(staying, customers)
-            self._mine = self._wards.list_of(fleet.own_session)
-        return self._mine
+        if (eligible, customers) != self._assigned_for:
+            self._assigned_for = (eligible, customers)
+            self._assignments.update(eligible, customers)
+            self._assigned = self._assignments.list_customers(fleet.own_session)
+        return self._assigned
 
     async def _async_sweep_customer(self, customer: str) -> None:
         listed = await self._records.async_list_open(customer)
         if isinstance(listed, Err):
             return
         for job in listed.ok_value.values():
-            await self._async_look(job)
+            await self._async_check_owner(job)
         seen = {job.key: job.version for job in listed.ok_value.values()}
-        others = {key: v for key, v in self._seen.items() if key.customer != customer}
-        self._seen = others | seen
+        others = {key: v for key, v in self._seen_versions.items() if key.customer != customer}
+        self._seen_versions = others | seen
 
         if self._sweeps % RETENTION_SWEEPS == 0:
             await self._async_remove_old(customer, listed.ok_value)
 
-    async def _async_look(self, job: OpenJob) -> None:
+    async def _async_check_owner(self, job: OpenJob) -> None:
         fleet = self._core.blackboard.read(FLEET)
         if job.owner in fleet.vms:
             if self._links.is_lost(job.owner, TAKEOVER_AFTER_MS):
-                await self._async_adopt(job)
-            elif self._seen.get(job.key) == job.version:
-                self._remind(job)
+                await self._async_take_over(job)
+            elif self._seen_versions.get(job.key) == job.version:
+                self._notify_owner(job)
             return
         # A daemon that has just started may have accepted a job before its session is known here,
         # but never before it stands in the store.
         sessions = await self._links.async_list_sessions()
         if sessions is not None and job.owner not in sessions:
-            await self._async_adopt(job)
+            await self._async_take_over(job)
 
-    def _remind(self, job: OpenJob) -> None:
+    def _notify_owner(self, job: OpenJob) -> None:
         # An owner whose accepting commit was answered too late does not know of its job, and one
         # that a job was handed to may have missed the notice.
         if job.owner != self._core.session_id:
@@ -182,7 +182,7 @@
         elif not self._owner.owns(job.key):
             self._owner.load(job.key)
 
-    async def _async_adopt(self, job: OpenJob) -> None:
+    async def _async_take_over(self, job: OpenJob) -> None:
         session = choose_owner(self._core, job.key, job.route)
         if not session:
             return
@@ -204,7 +204,9 @@
             return
         kept_ms = int(self._core.settings.job_read_s * MS_PER_SECOND) + RETENTION_MARGIN_MS
         for record in listed.ok_value:
-            age_ms = self._core.clock.now() - self._records.time.turn(record.submitted_at)
+            age_ms = self._core.clock.now() - self._records.store_clock.to_local(
+                record.submitted_at
+            )
             if record.key.job not in opened and age_ms > kept_ms:
                 removed = await self._records.async_remove(record)
                 if isinstance(removed, Err):
@@ -214,11 +216,11 @@
 def choose_owner(core: GatewayCore, key: JobKey, route: str) -> str:
     """Return the session that shall run a job: the same on every daemon that knows the same."""
     regions = find_job_regions(core.blackboard.read(CATALOGUE), key.customer, route)
-    able = keep_inside(core, list_able(core), regions)
-    return max(able, key=lambda session: score(session, key.customer, key.job), default="")
+    eligible = filter_by_region(core, list_eligible(core), regions)
+    return max(eligible, key=lambda session: score(session, key.customer, key.job), default="")
 
 
-def keep_inside(core: GatewayCore, sessions: Iterable[str], regions: Regions) -> list[str]:
+def filter_by_region(core: GatewayCore, sessions: Iterable[str], regions: Regions) -> list[str]:
     """Return the sessions that stand in some regions."""
     if regions is None:
         return list(sessions)
@@ -226,11 +228,11 @@
     return [session for session in sessions if session in vms and vms[session].region in regions]
 
 
-def list_able(core: GatewayCore) -> frozenset[str]:
+def list_eligible(core: GatewayCore) -> frozenset[str]:
     """Return the sessions that stay and that the store answers: others could read nothing of a job."""
     own = core.session_id
-    able = set(core.get(FLEET_LINKS).list_with_store())
+    eligible = set(core.get(FLEET_LINKS).list_with_store())
     ready = core.blackboard.read(FLEET).states.get(own) is VmState.READY
     if ready and not core.store_contact.is_away():
-        able.add(own)
-    return frozenset(able)
+        eligible.add(own)
+    return frozenset(eligible)
--- a/tests/components/jobs/test_checkpoints.py
+++ b/tests/components/jobs/test_checkpoints.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(
-    ("state", "last_event", "saved_event", "all_of_it", "saved"),
+    ("state", "last_event", "saved_event", "include_all", "saved"),
     [
         (ItemState.RUNNING, 20, 0, False, True),
         (ItemState.WAITING, 20, 0, False, True),
@@ -32,19 +32,19 @@
         (ItemState.RUNNING, 1_000, 1_000, True, False),
         # Its result is on its way to the store.
         (ItemState.FINISHED, 100, 0, True, False),
-        (ItemState.LISTED, 100, 0, True, False),
+        (ItemState.COMMITTED, 100, 0, True, False),
     ],
 )
 def test_progress_worth_saving(
-    state: ItemState, last_event: int, saved_event: int, all_of_it: bool, saved: bool
+    state: ItemState, last_event: int, saved_event: int, include_all: bool, saved: bool
 ) -> None:
     item = ItemProgress(JobItem("i", "/", (), b"", 1), 0, state=state)
     item.last_event, item.saved_event, item.data = last_event, saved_event, [b"one", b"two"]
-    found = list_unsaved(make_job(item), all_of_it=all_of_it)
+    found = list_unsaved(make_job(item), include_all=include_all)
     assert [(each.last_event, each.text) for each in found] == [(last_event, b"one\ntwo")] * saved
 
 
 def test_an_answer_too_long_for_a_row_keeps_what_was_saved_before() -> None:
     item = ItemProgress(JobItem("i", "/", (), b"", 1), 0, state=ItemState.RUNNING)
     item.last_event, item.data = 50, [b"x" * (TEXT_PART_BYTES + 1)]
-    assert list_unsaved(make_job(item), all_of_it=True) == []
+    assert list_unsaved(make_job(item), include_all=True) == []
--- a/tests/components/jobs/test_estimate.py
+++ b/tests/components/jobs/test_estimate.py
@@ -4,10 +4,10 @@
 
 from goldcreststair.clock import Millis
 from goldcreststair.components.fleet.protocols import hash_name
-from goldcreststair.components.jobs.estimate import START_MS, Pace, WorkEstimate
+from goldcreststair.components.jobs.estimate import FIRST_EVENT_MS, Pace, WorkEstimate
 from goldcreststair.components.jobs.models import JobItem
 from goldcreststair.components.jobs.protocols import JOBS
-from goldcreststair.components.jobs.registry import ItemProgress, is_hopeless
+from goldcreststair.components.jobs.registry import ItemProgress, is_late
 from goldcreststair.components.jobs.service import JobService
 from standins.gateways import GatewayFleet
 from tests.components.jobs.test_execution import make_job
@@ -24,29 +24,29 @@
 
 
 @pytest.mark.parametrize(
-    ("learned", "heard", "left_ms"),
+    ("learned", "heard", "remaining_ms"),
     [
         # Nobody has seen an answer: not known to take long, so that it may start.
-        ([], None, START_MS + 5 * 30),
+        ([], None, FIRST_EVENT_MS + 5 * 30),
         # The first answer counts in full, however far it is from the guess before it.
-        ([(200, 20)], None, START_MS + 200 * 20),
-        ([(200, 20), (100, 10)], None, START_MS + 150 * 15),
+        ([(200, 20)], None, FIRST_EVENT_MS + 200 * 20),
+        ([(200, 20), (100, 10)], None, FIRST_EVENT_MS + 150 * 15),
         # A daemon that has just started takes another one's word.
-        ([], Pace(0.1, 20), START_MS + 200 * 20),
+        ([], Pace(0.1, 20), FIRST_EVENT_MS + 200 * 20),
         # What was seen here goes before it.
-        ([(200, 20)], Pace(0.5, 90), START_MS + 200 * 20),
+        ([(200, 20)], Pace(0.5, 90), FIRST_EVENT_MS + 200 * 20),
     ],
 )
 def test_what_an_item_takes_is_learned_by_route(
-    learned: list[tuple[int, int]], heard: Pace | None, left_ms: float
+    learned: list[tuple[int, int]], heard: Pace | None, remaining_ms: float
 ) -> None:
     estimate = WorkEstimate()
     for events, event_ms in learned:
-        estimate.learn(make_item(2_000, events), events, int(START_MS) + events * event_ms)
+        estimate.learn(make_item(2_000, events), events, int(FIRST_EVENT_MS) + events * event_ms)
     if heard is not None:
-        estimate.hear(ROUTE, heard)
-    assert estimate.read_left_ms(make_item(2_000)) == pytest.approx(left_ms)
-    assert estimate.read_left_ms(make_item(2_000, route=OTHER)) == START_MS + 5 * 30
+        estimate.apply_reported(ROUTE, heard)
+    assert estimate.estimate_remaining_ms(make_item(2_000)) == pytest.approx(remaining_ms)
+    assert estimate.estimate_remaining_ms(make_item(2_000, route=OTHER)) == FIRST_EVENT_MS + 5 * 30
 
 
 def test_a_vm_that_just_started_does_not_take_jobs_for_late() -> None:
@@ -58,7 +58,7 @@
     job = make_job("digest", 1, due_at=12_000)
     job.items[0] = make_item(3_800)
     estimate = WorkEstimate()
-    assert not is_hopeless(job, Millis(0), estimate.read_left_ms(job.items[0]))
+    assert not is_late(job, Millis(0), estimate.estimate_remaining_ms(job.items[0]))
 
 
 def test_daemons_tell_each_other_how_long_items_take() -> None:
@@ -78,6 +78,8 @@
         jobs = second.core.get(JOBS)
         assert isinstance(jobs, JobService)
         item = make_item(1_500, route=hash_name("/batch/"))
-        assert jobs.estimate.read_left_ms(item) == pytest.approx(START_MS + 150 * 30, rel=0.05)
+        assert jobs.estimate.estimate_remaining_ms(item) == pytest.approx(
+            FIRST_EVENT_MS + 150 * 30, rel=0.05
+        )
 
     run_fleet(scenario)
--- a/tests/components/jobs/test_execution.py
+++ b/tests/components/jobs/test_execution.py
@@ -11,9 +11,9 @@
 from goldcreststair.components.jobs.models import JobItem, JobKey, JobRecord, OpenJob
 from goldcreststair.components.jobs.registry import (
     ItemProgress,
-    JobBook,
+    JobRegistry,
     OwnedJob,
-    choose_yielding,
+    choose_preempted,
 )
 from goldcreststair.components.placement.service import PLACEMENT
 from goldcreststair.upstreams.dialect import RunCall
@@ -33,7 +33,7 @@
     return OwnedJob(record, opened, progress, Millis(due_at), Millis(100_000))
 
 
-def read_left_ms(item: ItemProgress) -> float:
+def estimate_remaining_ms(item: ItemProgress) -> float:
     """Return 10 ms for each of 20 events that are still to come."""
     return (20 - item.last_event) * 10.0
 
@@ -51,12 +51,12 @@
     ],
 )
 def test_items_go_by_what_can_be_in_time(now: int, begun: list[str], expected: list[str]) -> None:
-    book = JobBook()
+    book = JobRegistry()
     for job in (make_job("later", 1, 1_000), make_job("soon", 2, 500)):
         book.jobs[job.key] = job
         for item in job.items:
             item.last_event = 15 if item.item.item in begun else 0
-    ranked = book.list_startable(Millis(now), read_left_ms)
+    ranked = book.list_startable(Millis(now), estimate_remaining_ms)
     assert [each.item.item.item for each in ranked] == expected
 
 
@@ -74,7 +74,7 @@
             self.job, self.item = job, item
 
     runs = [Run(soon, soon.items[0]), *(Run(later, item) for item in later.items)]
-    chosen = choose_yielding(runs, 3, Millis(now), read_left_ms)
+    chosen = choose_preempted(runs, 3, Millis(now), estimate_remaining_ms)
     assert [run.item.item.item for run in chosen] == expected
 
 
--- a/tests/components/jobs/test_result_writer.py
+++ b/tests/components/jobs/test_result_writer.py
@@ -6,9 +6,9 @@
 from result import Ok
 
 from goldcreststair.components.jobs.models import ItemResult
-from goldcreststair.components.jobs.records import JobRecords, Listing
+from goldcreststair.components.jobs.records import JobRecords, ResultCommit
 from goldcreststair.components.jobs.registry import ItemState, OwnedJob
-from goldcreststair.components.jobs.result_writer import JobLister
+from goldcreststair.components.jobs.result_writer import ResultWriter
 from standins.gateways import GatewayFleet
 from tests.components.jobs.test_execution import make_job
 from tests.helpers.gateways import run_fleet
@@ -21,7 +21,7 @@
         super().__init__(*arguments)
         self.answers: list[asyncio.Future[None]] = []
 
-    async def async_list_results(self, listing: Listing) -> Any:
+    async def async_commit_results(self, listing: ResultCommit) -> Any:
         answer: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.answers.append(answer)
         await answer
@@ -34,18 +34,18 @@
     async def scenario(fleet: GatewayFleet) -> None:
         (member,) = await fleet.async_add_many(1)
         records = SlowRecords(fleet.store.view(), fleet.clock)
-        lister = JobLister(member.core, records, lambda _: None, lambda *_: None)
+        writer = ResultWriter(member.core, records, lambda _: None, lambda *_: None)
         job = make_job("digest", 3, 10_000)
 
-        finish(lister, job, 0)
+        finish(writer, job, 0)
         await fleet.async_wait(lambda: len(records.answers) == 1, 100)
         records.answers[0].set_result(None)
         # It runs right after the step in which the listing goes on to its end.
-        asyncio.get_running_loop().call_soon(finish, lister, job, 1)
+        asyncio.get_running_loop().call_soon(finish, writer, job, 1)
         await fleet.async_wait(lambda: len(records.answers) == 2, 100)
         records.answers[1].set_result(None)
-        await fleet.async_wait(lambda: list_states(job)[:2] == [ItemState.LISTED] * 2, 100)
-        assert lister.is_idle(job)
+        await fleet.async_wait(lambda: list_states(job)[:2] == [ItemState.COMMITTED] * 2, 100)
+        assert writer.is_idle(job)
 
     run_fleet(scenario)
 
@@ -56,27 +56,27 @@
     async def scenario(fleet: GatewayFleet) -> None:
         (member,) = await fleet.async_add_many(1)
         records = SlowRecords(fleet.store.view(), fleet.clock)
-        lister = JobLister(member.core, records, lambda _: None, lambda *_: None)
+        writer = ResultWriter(member.core, records, lambda _: None, lambda *_: None)
         before, again = make_job("digest", 2, 10_000), make_job("digest", 2, 10_000)
-        finish(lister, before, 0)
+        finish(writer, before, 0)
         await fleet.async_wait(lambda: len(records.answers) == 1, 100)
         before.lost = True
-        finish(lister, again, 1)
+        finish(writer, again, 1)
         await fleet.async_wait(lambda: len(records.answers) == 2, 100)
         for answer in records.answers:
             answer.set_result(None)
-        await fleet.async_wait(lambda: list_states(again)[1] is ItemState.LISTED, 100)
-        assert lister.is_idle(again)
+        await fleet.async_wait(lambda: list_states(again)[1] is ItemState.COMMITTED, 100)
+        assert writer.is_idle(again)
 
     run_fleet(scenario)
 
 
-def finish(lister: JobLister, job: OwnedJob, number: int) -> None:
+def finish(writer: ResultWriter, job: OwnedJob, number: int) -> None:
     """End an item of a job."""
     item = job.items[number]
     item.state = ItemState.FINISHED
     job.finished.append((item, ItemResult(item.item.item, done=True)))
-    lister.list_soon(job)
+    writer.schedule(job)
 
 
 def list_states(job: OwnedJob) -> list[ItemState]:
--- a/tests/components/jobs/test_sweep_assignments.py
+++ b/tests/components/jobs/test_sweep_assignments.py
@@ -5,7 +5,7 @@
 import pytest
 
 from goldcreststair.components.jobs import sweep_assignments
-from goldcreststair.components.jobs.sweep_assignments import Wards
+from goldcreststair.components.jobs.sweep_assignments import SweepAssignments
 from goldcreststair.helpers.rendezvous import score
 
 SESSIONS = [f"session{number}" for number in range(60)]
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_changes_lead_to_the_same_as_ranking_all(seed: int) -> None:
     chance = random.Random(seed)
-    found, sessions = Wards(), set(SESSIONS[:30])
+    found, sessions = SweepAssignments(), set(SESSIONS[:30])
     customers = CUSTOMERS
     for _ in range(30):
         sessions = {s for s in sessions if chance.random() > 0.05}
@@ -32,7 +32,7 @@
         customers = frozenset(c for c in CUSTOMERS if chance.random() > 0.1)
         found.update(sessions, customers)
         for session in SESSIONS:
-            assert found.list_of(session) == rank_all(sessions, customers, session)
+            assert found.list_customers(session) == rank_all(sessions, customers, session)
 
 
 def test_a_replaced_daemon_costs_what_it_touches(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -48,7 +48,7 @@
         return score(*parts)
 
     monkeypatch.setattr(sweep_assignments, "score", count)
-    found = Wards()
+    found = SweepAssignments()
     found.update(set(SESSIONS[:50]), CUSTOMERS)
     first, ranked = ranked, 0
     for number in range(10):
@@ -57,6 +57,6 @@
 
 
 def test_a_fleet_without_daemons_looks_after_nobody() -> None:
-    found = Wards()
+    found = SweepAssignments()
     found.update(set(), CUSTOMERS)
-    assert found.list_of("session0") == []
+    assert found.list_customers("session0") == []
