--- a/goldcreststair/components/jobs/codec.py
+++ b/goldcreststair/components/jobs/codec.py
@@ -1,4 +1,4 @@
-"""Rows and objects of jobs to bytes and back."""
+"""Encodes and decodes the store's rows and objects of jobs."""
 
 from collections.abc import Iterable, Sequence
 
@@ -26,13 +26,13 @@
 
 
 def encode_items(items: Iterable[JobItem]) -> bytes:
-    """Return the object of a job's items."""
+    """Encode the items of a job as an object."""
     bodies = [ItemBody(i.item, i.path, dict(i.headers), i.body, i.tokens) for i in items]
     return encode_struct(JobBodies(bodies))
 
 
 def decode_items(encoded: bytes) -> tuple[JobItem, ...]:
-    """Return a job's items."""
+    """Decode the items of a job."""
     bodies = read_struct(JobBodies, encoded).items
     return tuple(
         JobItem(b.item, b.path, tuple(b.headers.items()), b.body, b.tokens) for b in bodies
@@ -40,7 +40,7 @@
 
 
 def encode_record(record: JobRecord) -> bytes:
-    """Return the row of a job as it was accepted."""
+    """Encode a job as it was accepted."""
     return encode_struct(
         JobRow(
             record.key.job,
@@ -56,7 +56,7 @@
 
 
 def decode_record(row: StoredRow) -> JobRecord:
-    """Return a job as it was accepted."""
+    """Decode a job as it was accepted."""
     read = read_struct(JobRow, row.value)
     return JobRecord(
         JobKey(row.key.part, read.job),
@@ -71,7 +71,7 @@
 
 
 def encode_open(job: OpenJob) -> bytes:
-    """Return the row of an open job."""
+    """Encode an open job."""
     return encode_struct(
         OpenRow(
             job.key.job,
@@ -86,7 +86,7 @@
 
 
 def decode_open(row: StoredRow) -> OpenJob:
-    """Return an open job."""
+    """Decode an open job."""
     read = read_struct(OpenRow, row.value)
     return OpenJob(
         JobKey(row.key.part, read.job),
@@ -101,7 +101,7 @@
 
 
 def encode_result(key: JobKey, position: int, result: ItemResult) -> list[tuple[RowKey, bytes]]:
-    """Return the rows of one result."""
+    """Encode one result as one or more rows; the text is split to fit the size limit of a row."""
     text = result.text
     parts = [text[at : at + TEXT_PART_BYTES] for at in range(0, len(text), TEXT_PART_BYTES)]
     parts = parts or [b""]
@@ -113,7 +113,7 @@
 
 
 def decode_results(rows: Sequence[StoredRow]) -> list[ItemResult]:
-    """Return whole results; a last one whose parts are not all there is left out."""
+    """Decode complete results; a last one whose rows are not all present is left out."""
     results: list[ItemResult] = []
     at = 0
     while at < len(rows):
@@ -128,13 +128,13 @@
 
 
 def encode_progress(key: JobKey, progress: SavedProgress) -> tuple[RowKey, bytes]:
-    """Return the row of an item's progress."""
+    """Encode the saved progress of an item."""
     encoded = encode_struct(ProgressRow(progress.last_event, progress.text))
     return make_progress_key(key, progress.number), encoded
 
 
 def decode_progress(rows: Iterable[StoredRow]) -> list[SavedProgress]:
-    """Return the progress of items; the row's key says whose each is."""
+    """Decode the saved progress of items; each row's key carries the item's number."""
     found = []
     for row in rows:
         read = read_struct(ProgressRow, row.value)
--- a/goldcreststair/components/jobs/errors.py
+++ b/goldcreststair/components/jobs/errors.py
@@ -7,32 +7,32 @@
 
 
 class JobProblem(StrEnum):
-    """What is wrong."""
+    """Kind of failure of a call about a job."""
 
     INVALID = "invalid"
-    """The submission cannot be read; nothing of it runs."""
+    """The submission is malformed; none of it runs."""
     NO_ROOM = "no_room"
-    """The customer has too many tokens waiting; nothing of it runs."""
+    """The customer's waiting tokens are at their limit; none of the submission runs."""
     UNAVAILABLE = "unavailable"
-    """The store does not answer; nothing was changed and nothing will be."""
+    """The store does not answer; nothing was changed, and nothing will be later."""
     UNKNOWN = "unknown"
-    """It may or may not have taken effect, or may still."""
+    """The call may or may not have taken effect, or may take effect later."""
     MISSING = "missing"
     """There is no such job or item."""
 
 
 @dataclass(frozen=True, slots=True)
 class JobError(GoldcreststairError):
-    """A call about a job that did not succeed."""
+    """A call about a job failed."""
 
     problem: JobProblem = JobProblem.UNAVAILABLE
     field: str = ""
-    """The field of a submission that cannot be read."""
+    """The malformed field of a submission; empty for other problems."""
 
 
 @dataclass(frozen=True, slots=True)
 class JobLost(GoldcreststairError):
-    """This daemon does not own the job any more."""
+    """This daemon no longer owns the job."""
 
     ended: bool = False
-    """Whether it is not open any more at all."""
+    """Whether the job is not open any more, as opposed to having another owner."""
--- a/goldcreststair/components/jobs/models.py
+++ b/goldcreststair/components/jobs/models.py
@@ -1,4 +1,4 @@
-"""Batch jobs and their items."""
+"""Data types of batch jobs, their items and their rows in the store."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -10,20 +10,20 @@
 
 @dataclass(frozen=True, slots=True)
 class JobItem:
-    """One item as its caller sent it."""
+    """One item as its caller submitted it."""
 
     item: str
-    """Its id, unique within the job."""
+    """Id of the item, unique within its job."""
     path: str
     headers: tuple[tuple[str, str], ...]
     body: bytes
     tokens: int
-    """Prompt and longest output together."""
+    """Tokens of the prompt plus the maximum of the output."""
 
 
 @dataclass(frozen=True, slots=True)
 class JobKey:
-    """Names a job."""
+    """Identifies a job."""
 
     customer: str
     job: str
@@ -42,67 +42,67 @@
     body_object: str
     """Name of the object that holds the items."""
     ended: bool = False
-    """Whether its caller ended it."""
+    """Whether the caller ended the job."""
     max_wait_ms: int = 0
-    """Its items may be given up so long after `submitted_at`."""
+    """Time after `submitted_at` from which unfinished items may be given up."""
 
 
 @dataclass(frozen=True, slots=True)
 class OpenJob:
-    """A job that is not finished, as its row stands in the store."""
+    """A job that is not finished, as its row in the store describes it."""
 
     key: JobKey
     owner: str
-    """Session of the daemon that runs it."""
+    """Session of the daemon that runs the job."""
     commit: str
-    """Names the last change of the row, so that a lost answer can be told from a conflict."""
+    """Id of the row's last change; tells a commit whose answer was lost from a conflict."""
     committed: int
-    """Results listed."""
+    """Number of committed results."""
     waiting_tokens: int
-    """Tokens of the items that are not listed."""
+    """Tokens of the items whose results are not committed."""
     route: str
-    """Name of the route whose limit of waiting tokens it counts for."""
+    """Name of the route whose limit of waiting tokens the job counts against."""
     failures: tuple[int, ...] = ()
-    """Failed runs of each item."""
+    """Failed runs of each item, by its number."""
     version: int = 0
-    """Of the row; the fencing token of its owner."""
+    """Version of the row; serves as the owner's fencing token."""
 
 
 @dataclass(frozen=True, slots=True)
 class ItemResult:
-    """What became of one item."""
+    """Final result of one item."""
 
     item: str
     done: bool
-    """False if it was given up."""
+    """False if the item was given up."""
     text: bytes = b""
-    """The data of all events, joined by line feeds."""
+    """Data of all events, joined by line feeds."""
 
 
 @dataclass(frozen=True, slots=True)
 class SavedProgress:
-    """What an item that is not listed has brought so far."""
+    """Progress of an item whose result is not committed."""
 
     number: int
-    """Place of the item in its job."""
+    """Index of the item in its job."""
     last_event: int
     text: bytes
-    """The data of its events from the first to `last_event`, joined by line feeds."""
+    """Data of the events from the first to `last_event`, joined by line feeds."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResultPage:
-    """Results from one position on."""
+    """A page of results from one position on."""
 
     total: int
-    """Items of the job."""
+    """Number of items of the job."""
     results: tuple[ItemResult, ...]
     next_position: int
 
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """A job on its way in."""
+    """A job that a caller submits."""
 
     key: JobKey
     route_host: str
@@ -111,9 +111,9 @@
     items: tuple[JobItem, ...]
     max_wait_ms: int
     max_waiting_tokens: int
-    """The customer's limit on this route; 0 for none."""
+    """The customer's limit of waiting tokens on this route; 0 for none."""
     regions: Regions = None
-    """Where it may be handled."""
+    """Regions in which the job may run; None for all."""
 
     @property
     def tokens(self) -> int:
@@ -123,24 +123,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What of a customer is waiting on one route."""
+    """Waiting work of a customer on one route."""
 
     tokens: int
     jobs: Mapping[str, OpenJob] = field(default_factory=dict)
     """All open jobs of the customer, by id."""
     order: int = 0
-    """Version of the row that puts submissions in one order."""
+    """Version of the row that serializes submissions."""
     now_ms: int = 0
-    """Time on the store's clock."""
+    """Time on the store's clock, ms."""
 
 
 def make_row_key(table: str, key: JobKey, suffix: str = "") -> RowKey:
-    """Return where a row of a job stands: all rows of a customer share their part."""
+    """Return the key of a job's row; all rows of one customer share a part."""
     return RowKey(table, key.customer, key.job + suffix)
 
 
 def make_result_key(key: JobKey, position: int, part: int = 0) -> RowKey:
-    """Return where a result stands; rows sort by position, then by part.
+    """Return the key of a result's row; keys sort by position, then by part.
 
     >>> make_result_key(JobKey("c", "j"), 3).key, make_result_key(JobKey("c", "j"), 3, 2).key
     ('j/000003', 'j/000003/02')
@@ -150,7 +150,7 @@
 
 
 def make_progress_key(key: JobKey, number: int) -> RowKey:
-    """Return where the progress of an item stands.
+    """Return the key of the row that holds an item's saved progress.
 
     >>> make_progress_key(JobKey("c", "j"), 3).key
     'j/000003'
--- a/goldcreststair/components/jobs/records.py
+++ b/goldcreststair/components/jobs/records.py
@@ -1,4 +1,8 @@
-"""Jobs in the store: accepted, listed, ended and taken over by conditional transactions."""
+"""Reads and writes jobs in the store.
+
+Accepting a job, committing its results, ending it and changing its owner are conditional
+transactions.
+"""
 
 import logging
 import secrets
@@ -60,47 +64,48 @@
 
 @dataclass(frozen=True, slots=True)
 class ResultCommit:
-    """A change that lists results of a job."""
+    """A prepared transaction that appends results to a job."""
 
     before: OpenJob
     after: OpenJob
     puts: tuple[tuple[RowKey, bytes], ...]
     deletes: tuple[RowKey, ...] = ()
-    """Rows of progress that the results make needless."""
+    """Rows of saved progress that the results make obsolete."""
 
 
 class StoreClock:
-    """The store's clock, as far as its answers tell."""
+    """Estimate of the store's clock, from the times that its answers carry."""
 
     def __init__(self, clock: Clock) -> None:
-        """Know nothing."""
+        """Start without an offset: until the first answer, both clocks are taken as equal."""
         self._clock = clock
         self._ahead_ms: int | None = None
 
     def update(self, store_ms: int) -> None:
-        """Take the time that an answer carries; it was true when the answer left."""
+        """Take the time that an answer carries, ms; it was read when the answer was sent."""
         ahead_ms = store_ms - self._clock.now()
-        # Answers come late and never early: the largest lead is the nearest to the truth.
+        # Network delay only makes an answer's time look older, so the largest offset seen is the
+        # most accurate one.
         if self._ahead_ms is None or ahead_ms > self._ahead_ms:
             self._ahead_ms = ahead_ms
 
     def to_local(self, store_ms: int) -> int:
-        """Return a time of the store on this daemon's clock."""
+        """Convert a time of the store's clock to this daemon's clock."""
         return store_ms - (self._ahead_ms or 0)
 
 
 class JobRecords:
-    """The only reader and writer of the tables of jobs."""
+    """Data access for the tables of jobs; nothing else reads or writes them."""
 
     def __init__(self, store: RowStore, clock: Clock) -> None:
-        """Use the store."""
+        """Access the tables through `store`."""
         self.store_clock = StoreClock(clock)
         self._store = store
 
     async def async_accept(
         self, submission: Submission, owner: str
     ) -> Result[tuple[JobRecord, OpenJob] | None, JobError]:
-        """Accept a job, or return None if it was accepted before."""
+        """Accept a job; returns None if a job with this id was accepted before."""
         stored: JobRecord | None = None
         for _ in range(ACCEPT_TRIES):
             found = await self._async_read_usage(submission)
@@ -111,7 +116,7 @@
                 return Ok(None)
             limit = submission.max_waiting_tokens
             if limit and usage.tokens + submission.tokens > limit:
-                message = f"{usage.tokens} tokens wait, of at most {limit}"
+                message = f"{usage.tokens} tokens are waiting; the limit is {limit}"
                 return Err(JobError(message, JobProblem.NO_ROOM))
             if stored is None:
                 put = await self._async_put_items(submission, usage.now_ms)
@@ -123,7 +128,7 @@
             done = await self._async_commit_job(submission, stored, owner, order)
             if isinstance(done, Ok) or done.err_value.problem is not JobProblem.MISSING:
                 return done
-        return Err(JobError("other submissions came first each time"))
+        return Err(JobError("gave up after conflicts with other submissions"))
 
     async def async_list_open(self, customer: str) -> Result[dict[str, OpenJob], PlatformError]:
         """Return the open jobs of a customer, by id."""
@@ -134,7 +139,7 @@
         return Ok({row.key.key: decode_open(row) for row in read.ok_value.rows})
 
     async def async_find(self, key: JobKey) -> Result[JobRecord | None, PlatformError]:
-        """Return a job as it was accepted."""
+        """Return a job as it was accepted, or None if it is unknown."""
         row = await self._async_read_row(make_row_key(TABLE_JOBS, key))
         return row.map(lambda found: None if found is None else decode_record(found))
 
@@ -146,7 +151,7 @@
     async def async_read_results(
         self, key: JobKey, position: int
     ) -> Result[list[ItemResult], PlatformError]:
-        """Return the results listed from a position on, as many as one read brings."""
+        """Return the committed results from a position on, as many as one read returns."""
         first = make_result_key(key, position)
         end = make_row_key(first.table, key, "0").key
         read = await self._store.async_read(RowRange(first.table, first.part, first.key, end))
@@ -158,19 +163,21 @@
     async def async_read_all_results(
         self, key: JobKey, count: int
     ) -> Result[list[ItemResult], PlatformError]:
-        """Return the first `count` results."""
+        """Return the first `count` committed results."""
         results: list[ItemResult] = []
         while len(results) < count:
             read = await self.async_read_results(key, len(results))
             if isinstance(read, Err):
                 return read
             if not read.ok_value:
-                return Err(PlatformError(f"{len(results)} of {count} results of {key.job}"))
+                return Err(
+                    PlatformError(f"only {len(results)} of {count} results of {key.job} found")
+                )
             results += read.ok_value
         return Ok(results)
 
     async def async_read_object(self, name: str) -> Result[bytes, PlatformError]:
-        """Return the object of a job's items."""
+        """Return the encoded items of a job."""
         return await self._store.async_get_object(name)
 
     def prepare_commit(
@@ -180,10 +187,10 @@
         failures: tuple[int, ...],
         saved: Sequence[int] = (),
     ) -> ResultCommit:
-        """Return the change that lists results at the next positions.
+        """Prepare the transaction that appends results at the next positions.
 
-        `results` pairs the tokens of each item with its result; `saved` numbers those of the items
-        whose progress stands in the store.
+        `results` pairs the tokens of each item with its result; `saved` holds the numbers of those
+        items that have a row of saved progress.
         """
         puts = [
             row
@@ -204,16 +211,16 @@
     async def async_commit_results(
         self, commit: ResultCommit
     ) -> Result[OpenJob, PlatformError | JobLost]:
-        """List results; returns the job as it stands then.
+        """Commit results; returns the job's new state in the store.
 
-        After an unknown outcome the same listing has to be tried again until it is settled. The job's
-        own row is written under its version, so that an owner that was paused and replaced cannot
-        list anything.
+        After an unknown outcome the same commit must be retried until the outcome is known. The
+        commit is conditional on the version of the job's row, which acts as a fencing token: an
+        owner that was paused and replaced cannot commit anything.
         """
         return await self._async_change(commit.before, commit.after, commit.puts, commit.deletes)
 
     async def async_close_job(self, job: OpenJob) -> Result[None, PlatformError | JobLost]:
-        """Take a job whose items are all listed off the open ones."""
+        """Remove a job from the open ones, once the results of all its items are committed."""
         row = make_row_key(TABLE_OPEN, job.key)
         closing = Transaction(deletes=(row,), conditions=((row, job.version),))
         closed = await self._store.async_commit(closing)
@@ -227,7 +234,7 @@
     async def async_assign(
         self, job: OpenJob, owner: str, progress: Sequence[SavedProgress] = ()
     ) -> Result[OpenJob, PlatformError | JobLost]:
-        """Make a daemon the owner of a job, and leave it what its items have brought."""
+        """Make a daemon the owner of a job, and save the progress of its items for that daemon."""
         puts = tuple(encode_progress(job.key, saved) for saved in progress)
         after = replace(job, owner=owner, commit=secrets.token_hex(4))
         return await self._async_change(job, after, puts)
@@ -235,10 +242,10 @@
     async def async_save_progress(
         self, job: OpenJob, progress: Sequence[SavedProgress]
     ) -> Result[None, PlatformError | RowsConflict]:
-        """Save what items have brought; a conflict means that the job's own row has changed.
+        """Save the progress of items; a `RowsConflict` means that the job's row has changed.
 
-        Rows of a job that is finished, ended or another daemon's must not come back: nothing would
-        remove them.
+        The condition keeps rows of a job that is finished, ended or owned by another daemon from
+        being written again: nothing would remove them.
         """
         open_row = make_row_key(TABLE_OPEN, job.key)
         puts = tuple(encode_progress(job.key, saved) for saved in progress)
@@ -247,14 +254,14 @@
         return committed.map(lambda _: None)
 
     async def async_read_progress(self, key: JobKey) -> Result[list[SavedProgress], PlatformError]:
-        """Return what the items that are not listed have brought, as far as it was saved."""
+        """Return the saved progress of items whose results are not committed."""
         first = make_progress_key(key, 0)
         end = make_row_key(first.table, key, "0").key
         read = await async_read_all(self._store, RowRange(first.table, first.part, first.key, end))
         return read.map(lambda page: decode_progress(page.rows))
 
     async def async_end(self, key: JobKey) -> Result[bool, JobError]:
-        """End a job; returns False if there is none."""
+        """End a job on behalf of its caller; returns False if there is no such job."""
         for _ in range(ACCEPT_TRIES):
             record = await self.async_find(key)
             if isinstance(record, Err):
@@ -270,13 +277,14 @@
             ended = await self._async_commit_end(found, opened.ok_value)
             if isinstance(ended, Ok):
                 return Ok(True)
-            # A conflict means that results were listed meanwhile; an unknown outcome is read again.
+            # A conflict means that results were committed meanwhile. After an unknown outcome, the
+            # next attempt reads whether the job is still open.
             if not isinstance(ended.err_value, RowsConflict | PlatformOutcomeUnknown):
                 return Err(JobError(ended.err_value.message))
-        return Err(JobError("the job changes faster than it can be ended", JobProblem.UNKNOWN))
+        return Err(JobError("the job kept changing while it was being ended", JobProblem.UNKNOWN))
 
     async def async_remove(self, record: JobRecord) -> Result[None, PlatformError]:
-        """Remove a finished job and its results for good."""
+        """Permanently remove a finished job with its results and its object of items."""
         for table in (TABLE_PROGRESS, TABLE_RESULTS):
             cleared = await self._async_clear(table, record.key)
             if isinstance(cleared, Err):
@@ -305,14 +313,14 @@
                 return Ok(None)
 
     async def async_drop_object(self, name: str) -> Result[None, PlatformError]:
-        """Remove the object of a job's items."""
+        """Remove the object of a job's items; one that is already missing is no error."""
         dropped = await self._store.async_drop_object(name)
         if isinstance(dropped, Err) and not isinstance(dropped.err_value, ObjectMissing):
             return dropped
         return Ok(None)
 
     async def async_list_records(self, customer: str) -> Result[list[JobRecord], PlatformError]:
-        """Return jobs of a customer, finished ones included, one page of them."""
+        """Return the first page of a customer's jobs, finished ones included."""
         read = await self._store.async_read(RowRange(TABLE_JOBS, customer))
         if isinstance(read, Err):
             return read
@@ -337,8 +345,8 @@
     async def _async_put_items(
         self, submission: Submission, now_ms: int
     ) -> Result[JobRecord, JobError]:
-        # Each try has an object of its own: one that another daemon wrote for the same job may
-        # belong to a submission that was accepted, and must not be touched.
+        # Each submission writes an object of its own: one that another daemon wrote for the same
+        # job may belong to a submission that was accepted, and must not be overwritten.
         name = f"{submission.key.customer}.{submission.key.job}.{secrets.token_hex(4)}"
         put = await self._store.async_put_object(name, encode_items(submission.items))
         if isinstance(put, Err):
@@ -358,7 +366,7 @@
     async def _async_commit_job(
         self, submission: Submission, record: JobRecord, owner: str, order: int | None
     ) -> Result[tuple[JobRecord, OpenJob] | None, JobError]:
-        """Make a job exist; `MISSING` means that the usage has to be read again."""
+        """Commit a new job's rows; the problem `MISSING` means: read the usage again."""
         key = submission.key
         opened = OpenJob(
             key,
@@ -380,7 +388,8 @@
         transaction = Transaction(tuple(puts), conditions=tuple(conditions))
         committed = await self._store.async_commit(transaction)
         if isinstance(committed, Err) and isinstance(committed.err_value, PlatformOutcomeUnknown):
-            # The first try may still be made: the same one again either makes it or meets it.
+            # The first attempt may still take effect. Repeating the same transaction either commits
+            # it or conflicts with it, which settles the outcome.
             committed = await self._store.async_commit(transaction)
             if isinstance(committed, Err) and not isinstance(committed.err_value, RowsConflict):
                 return Err(JobError(committed.err_value.message, JobProblem.UNKNOWN))
@@ -396,11 +405,11 @@
             return Err(JobError(error.message))
         rows = [row for row in error.rows if row.key.table == TABLE_JOBS]
         if not rows:
-            return Err(JobError("another submission came first", JobProblem.MISSING))
+            return Err(JobError("another submission was committed first", JobProblem.MISSING))
         if decode_record(rows[0]).body_object != record.body_object:
             await self._store.async_drop_object(record.body_object)
             return Ok(None)
-        # Our own first try, whose answer was lost.
+        # The conflict is with this daemon's own first attempt, whose answer was lost.
         return Ok((record, replace(opened, version=rows[0].version)))
 
     async def _async_change(
@@ -429,9 +438,9 @@
         if not isinstance(error, RowsConflict):
             return Err(error)
         if not error.rows:
-            return Err(JobLost("the job is not open any more", ended=True))
+            return Err(JobLost("the job is no longer open", ended=True))
         found = decode_open(error.rows[0])
-        # The row names its last change: where it is this one, only its answer was lost.
+        # The row holds the id of its last change: if that is this change, only its answer was lost.
         if found.commit == after.commit:
             return Ok(found)
         return Err(JobLost(f"owned by {found.owner}"))
