--- a/goldcreststair/components/jobs/registry.py
+++ b/goldcreststair/components/jobs/registry.py
@@ -1,8 +1,8 @@
-"""The jobs that this daemon runs, which item goes next and which gives way; no I/O.
+"""In-memory registry of the jobs that this daemon owns: start order and preemption order; no I/O.
 
-Load it answers: jobs of some ten items arrive all day while online bursts take every slot for
-seconds. What has begun goes on first, and the rest by when its job is due: taken in turns, all items of
-an overload would be late together. What cannot be in time any more goes after all that can.
+Jobs of about ten items arrive all day, while online bursts take every slot for seconds. Items that
+have already run resume first, the others start in the order of their job's due time: with round
+robin, all items would be late in an overload. Items that can no longer finish in time come last.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -15,80 +15,83 @@
 
 
 class ItemState(StrEnum):
-    """How far an item is."""
+    """State of an item at its owner."""
 
     WAITING = "waiting"
     RUNNING = "running"
     FINISHED = "finished"
-    """Its result is known and not listed."""
+    """Its result is known but not yet committed to the store."""
     COMMITTED = "committed"
 
 
 @dataclass(slots=True)
 class ItemProgress:
-    """One item of an owned job."""
+    """Progress of one item of an owned job."""
 
     item: JobItem
     number: int
-    """Its place in the job."""
+    """Index of the item in its job."""
     route: int = 0
-    """Names the route of its job, by the hash that beacons carry."""
+    """Hash of the route's name, as beacons carry it."""
     state: ItemState = ItemState.WAITING
     failures: int = 0
     """Runs that an upstream answered with a failure."""
     lost_runs: int = 0
-    """Runs in a row that brought nothing and no answer."""
+    """Consecutive runs that ended without a conclusive answer."""
     silent_runs: int = 0
-    """Runs in a row that were given up as silent."""
+    """Consecutive runs that were aborted because the upstream went silent."""
     not_before: Millis = Millis(0)
     last_event: int = 0
     data: list[bytes] = field(default_factory=list)
-    """Data of the events so far, kept when a run gives way or is lost."""
+    """Data of the events received so far; kept when a run is preempted or lost."""
     saved_event: int = 0
-    """Events so far that stand in the store as well."""
+    """Last event whose data is saved in the store."""
 
     def resume(self, last_event: int, text: bytes) -> None:
-        """Go on after what an earlier owner's runs had brought."""
+        """Continue after the progress that an earlier owner saved."""
         self.last_event = self.saved_event = last_event
         self.data = [text]
 
 
 @dataclass(slots=True, eq=False)
 class OwnedJob:
-    """A job that this daemon runs; one that comes back is another."""
+    """A job that this daemon runs.
+
+    Compared by identity: a job that is taken over again is a new object.
+    """
 
     record: JobRecord
     open: OpenJob
     items: list[ItemProgress]
     due_at: Millis
-    """When all results are due, on this daemon's clock."""
+    """Time by which all results are due, on this daemon's clock."""
     expires_at: Millis
-    """When items may be given up, on this daemon's clock."""
+    """Time from which unfinished items may be given up, on this daemon's clock."""
     finished: list[tuple[ItemProgress, ItemResult]] = field(default_factory=list)
-    """Results in the order in which they will be listed."""
+    """Results to commit, in the order in which readers will see them."""
     committed: list[ItemResult] = field(default_factory=list)
     route_missing_since: Millis | None = None
-    """Since when its route is missing here."""
+    """Time since which the job's route is missing from the catalogue here."""
     lost: bool = False
-    """Whether another daemon owns it, or it has ended."""
+    """Whether another daemon owns the job now, or the job has ended."""
 
     @property
     def key(self) -> JobKey:
-        """Its name."""
+        """Key of the job."""
         return self.record.key
 
     @property
     def is_complete(self) -> bool:
-        """Whether every item is listed."""
+        """Whether the results of all items are committed."""
         return len(self.committed) == len(self.items)
 
     def find(self, item: str) -> ItemProgress | None:
-        """Return one item."""
+        """Return an item by its id, or None."""
         return next((found for found in self.items if found.item.item == item), None)
 
 
 EstimateRemaining = Callable[[ItemProgress], float]
-"""Returns how many ms an item takes from a start now to its end."""
+"""Returns the ms that an item would take from a start now to its end."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,14 +101,14 @@
     job: OwnedJob
     item: ItemProgress
     late: bool
-    """Whether it cannot be in time any more."""
+    """Whether the item can no longer finish by the job's due time."""
 
 
 class JobRegistry:
-    """All jobs that this daemon runs."""
+    """The jobs that this daemon owns, by key."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create an empty registry."""
         self.jobs: dict[JobKey, OwnedJob] = {}
 
     def list_startable(
@@ -122,7 +125,7 @@
         return sorted(found, key=_rank)
 
     def list_expired(self, now: Millis) -> Iterator[tuple[OwnedJob, ItemProgress]]:
-        """Yield the items whose time to wait is over and that do not run."""
+        """Yield the waiting items of expired jobs; running items are left out."""
         for job in self.jobs.values():
             if job.lost or now < job.expires_at:
                 continue
@@ -132,7 +135,7 @@
 
 
 def is_late(job: OwnedJob, now: Millis, remaining_ms: float) -> bool:
-    """Return whether an item that takes so long cannot be in time."""
+    """Return whether an item that still takes `remaining_ms` would finish after its due time."""
     return now + remaining_ms > job.due_at
 
 
@@ -154,7 +157,10 @@
 def choose_preempted(
     running: Iterable[R], count: int, now: Millis, estimate_remaining_ms: EstimateRemaining
 ) -> list[R]:
-    """Return the runs that give way: what is hopeless first, then what has most left to do."""
+    """Return the `count` runs to preempt.
+
+    Runs of late items come first, then those with the most remaining work.
+    """
 
     def rank(run: R) -> tuple[bool, float]:
         remaining_ms = estimate_remaining_ms(run.item)
