--- a/goldcreststair/components/jobs/__init__.py
+++ b/goldcreststair/components/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Batch jobs of the gateway daemon, kept in the store's rows."""
+"""Batch jobs of the gateway daemon, persisted as rows of the platform's store."""
 
 from functools import partial
 
@@ -15,7 +15,7 @@
 
 
 async def async_setup(core: GatewayCore) -> Component:
-    """Set up the jobs."""
+    """Set up the job component and the two entry points that callers use."""
     service = JobService(core)
     core.offer(JOBS, service)
     remote = RemoteJobs(core.get(FLEET_LINKS), core.random.choice, partial(filter_by_region, core))
--- a/goldcreststair/components/jobs/protocols.py
+++ b/goldcreststair/components/jobs/protocols.py
@@ -1,4 +1,4 @@
-"""What jobs offer to an adapter."""
+"""Interfaces of the job component for adapters and other components."""
 
 from typing import Final, Protocol
 
@@ -10,22 +10,22 @@
 
 
 class SubmissionReader(Protocol):
-    """Knows how a submission's body reads."""
+    """Decodes the body of a submission."""
 
     def decode(self, body: bytes) -> Result[tuple[JobItem, ...], JobError]:
-        """Return the items of a submission; an error names the field."""
+        """Return the items of a submission; an error names the malformed field."""
 
 
 class Jobs(Protocol):
-    """Takes batch jobs and answers questions about them."""
+    """Accepts batch jobs and serves calls about them."""
 
     async def async_submit(self, submission: Submission) -> Result[None, JobError]:
-        """Accept a job; a repeated one is accepted once."""
+        """Accept a job; submitting it again is no error and does not run it twice."""
 
     async def async_read_results(
         self, key: JobKey, position: int, wait_ms: int
     ) -> Result[ResultPage, JobError]:
-        """Return the results from a position on; waits for one up to `wait_ms`."""
+        """Return the results from a position on; waits up to `wait_ms` for the first one."""
 
     async def async_read_body(self, key: JobKey, item: str) -> Result[bytes, JobError]:
         """Return the body of an item."""
@@ -42,21 +42,21 @@
         """Whether a submission can be accepted here now."""
 
     def can_read_results(self, key: JobKey, position: int) -> bool:
-        """Return whether results from a position on can be told here now."""
+        """Return whether results from a position on can be read here now."""
 
     def can_read_items(self, key: JobKey) -> bool:
-        """Return whether a job's items can be told here now."""
+        """Return whether a job's items can be read here now."""
 
     def owns(self, key: JobKey) -> bool:
-        """Return whether this daemon runs a job."""
+        """Return whether this daemon runs a job, or is loading it."""
 
     def count_owned(self) -> int:
-        """Return the jobs that this daemon runs."""
+        """Return the number of jobs that this daemon runs."""
 
     def count_waiting(self) -> int:
-        """Return the items that wait for a slot here and can be in time."""
+        """Return the number of items that wait for a slot here and can still be in time."""
 
 
 JOBS: Final = ComponentKey[LocalJobs]("jobs")
 JOB_ROUTER: Final = ComponentKey[Jobs]("job_router")
-"""The way for callers."""
+"""Entry point for the calls of callers."""
--- a/goldcreststair/components/jobs/service.py
+++ b/goldcreststair/components/jobs/service.py
@@ -1,4 +1,4 @@
-"""Accepts batch jobs, runs those that this daemon owns, and answers questions about all."""
+"""Accepts batch jobs, runs the jobs that this daemon owns, and serves reads of all jobs."""
 
 import asyncio
 import logging
@@ -45,18 +45,18 @@
 _LOGGER = logging.getLogger(__name__)
 
 DEFAULT_DUE_MS: Final = 60_000
-"""For jobs whose route is gone."""
+"""Due time of jobs whose route is not in the catalogue."""
 MAX_RECENT_ENDS: Final = 10_000
-"""More jobs than end while one is read from the store."""
+"""Far more than the jobs that end while one job is read from the store."""
 RECHECK_MS: Final = 250
-"""How often jobs in doubt are looked up."""
+"""Interval at which the store is asked about jobs whose ownership must be rechecked."""
 
 
 class JobService:
-    """Implements `Jobs`."""
+    """Implements `LocalJobs`, and the callbacks of executor, sweeper and handover."""
 
     def __init__(self, core: GatewayCore) -> None:
-        """Own no job."""
+        """Set up the parts of the service; the daemon owns no job yet."""
         self._core = core
         self._clock = core.clock
         self._links = core.get(FLEET_LINKS)
@@ -65,7 +65,7 @@
         self._registry = JobRegistry()
         self._writer = ResultWriter(core, self._records, self._on_committed, self._drop)
         self.estimate = WorkEstimate()
-        """What items of each route take, as far as it is known here."""
+        """Estimates how long the items of each route take."""
         self._executor = ItemExecutor(
             core, self._registry, self._writer, self.estimate, self._count_waiting_elsewhere
         )
@@ -73,14 +73,16 @@
             core, self._registry, self._records, self._writer, self.recheck
         )
         self._waiting_elsewhere: dict[str, tuple[Millis, int]] = {}
-        """By session: when it was heard, and how many of its items wait that can be in time."""
+        """By session: when its last beacon came, and how many of its waiting items can still be in
+        time."""
         self._handover = JobHandover(core, self._registry, self._records, self._writer, self)
         self._sweeper = JobSweeper(core, self._records, self)
         self._unconfirmed: set[JobKey] = set()
-        """Jobs that may have another owner by now; the store is asked before readers are told."""
+        """Jobs that may have another owner by now; until the store has confirmed them, their
+        readers are answered from the store."""
         self._loading: dict[JobKey, asyncio.Task[None]] = {}
         self._recently_ended: OrderedDict[JobKey, None] = OrderedDict()
-        """Jobs whose end was heard of late, the last ones."""
+        """The most recent jobs whose end was reported, oldest first."""
         self._leaving = False
         self._jobs_added = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
@@ -92,7 +94,7 @@
         core.on_awake.append(lambda _: self.recheck_all())
 
     async def async_start(self) -> None:
-        """Begin to run and to look for jobs without an owner."""
+        """Start to run items, sweep for jobs without an owner, and save progress."""
         self._tasks = [
             asyncio.create_task(self._async_tick()),
             asyncio.create_task(self._async_recheck_ownership()),
@@ -101,7 +103,7 @@
         await self._checkpoints.async_start()
 
     async def async_close(self) -> None:
-        """Stop; what is not listed goes on elsewhere."""
+        """Stop; unfinished jobs are taken over by other daemons."""
         await self._checkpoints.async_close()
         await self._sweeper.async_close()
         tasks = [*self._tasks, *self._loading.values()]
@@ -112,11 +114,11 @@
         await self._writer.async_close()
 
     async def async_submit(self, submission: Submission) -> Result[None, JobError]:
-        """Accept a job; a repeated one is accepted once."""
+        """Accept a job; submitting it again is no error and does not run it twice."""
         if self._leaving:
-            # Accepted here it would only be handed over at once.
-            return Err(JobError("this VM leaves"))
-        # A job whose owner's session is not in the store counts as left behind by it.
+            # A job accepted during a leave would have to be handed over at once.
+            return Err(JobError("this VM is leaving the fleet"))
+        # If the session of a job's owner is not in the store, sweeps treat the job as abandoned.
         if not self._links.is_registered():
             return Err(JobError("this VM is not part of the fleet yet"))
         accepted = await self._records.async_accept(submission, self._core.session_id)
@@ -140,7 +142,7 @@
     async def async_read_results(
         self, key: JobKey, position: int, wait_ms: int
     ) -> Result[ResultPage, JobError]:
-        """Return the results from a position on; waits for one up to `wait_ms`."""
+        """Return the results from a position on; waits up to `wait_ms` for the first one."""
         job = self._find_confirmed(key)
         if job is None:
             return await self._reader.async_read(key, position, wait_ms)
@@ -187,45 +189,45 @@
         return not (self._leaving or away) and self._links.is_registered()
 
     def can_read_results(self, key: JobKey, position: int) -> bool:
-        """Return whether results from a position on can be told here now."""
+        """Return whether results from a position on can be read here now."""
         if not self._core.store_contact.is_away() or self._find_confirmed(key) is not None:
             return True
         return self._reader.has_results(key, position)
 
     def can_read_items(self, key: JobKey) -> bool:
-        """Return whether a job's items can be told here now."""
+        """Return whether a job's items can be read here now."""
         return not self._core.store_contact.is_away() or self._find_confirmed(key) is not None
 
     def begin_leave(self) -> None:
-        """Hand over what does not run, and start nothing."""
+        """Start no more items, and hand over all jobs."""
         self._leaving = True
         self._executor.stop()
         self._tasks.append(asyncio.create_task(self._handover.async_run()))
 
     def count_running(self) -> int:
-        """Return the jobs that are still here."""
+        """Return the number of jobs that are owned or being loaded."""
         return len(self._registry.jobs) + len(self._loading)
 
     def stop_accepting(self) -> None:
         """Do nothing: submissions are refused from the start of a leave."""
 
     def end(self) -> None:
-        """Do nothing: what is not handed over is found by others."""
+        """Do nothing: sweeps of other daemons find the jobs that were not handed over."""
 
     def owns(self, key: JobKey) -> bool:
-        """Return whether this daemon runs a job."""
+        """Return whether this daemon runs a job, or is loading it."""
         return key in self._registry.jobs or key in self._loading
 
     def count_owned(self) -> int:
-        """Return the jobs that this daemon runs."""
+        """Return the number of jobs that this daemon runs."""
         return len(self._registry.jobs)
 
     def count_waiting(self) -> int:
-        """Return the items that wait for a slot here and can be in time."""
+        """Return the number of items that wait for a slot here and can still be in time."""
         return self._executor.waiting_in_time
 
     def load(self, key: JobKey) -> None:
-        """Take over a job that the store names as this daemon's; a leaving daemon hands it on."""
+        """Take over a job whose row names this daemon; a leaving daemon hands it on."""
         if self.owns(key):
             return
         task = asyncio.create_task(self._async_load(key))
@@ -234,8 +236,8 @@
 
     def drop_ended(self, key: JobKey) -> None:
         """Stop a job that its caller ended."""
-        # The news may come while the job is being read from the store, and is remembered: else the
-        # daemon that takes it over would run what its caller was told has stopped.
+        # The job may still be loading from the store, so its end is remembered: otherwise this
+        # daemon would run a job whose caller was told that it has stopped.
         self._recently_ended[key] = None
         if len(self._recently_ended) > MAX_RECENT_ENDS:
             self._recently_ended.popitem(last=False)
@@ -248,12 +250,12 @@
         return self._executor.is_idle(job)
 
     def release(self, job: OwnedJob, session: str) -> None:
-        """Stop a job that is another daemon's now, and tell that one."""
+        """Stop a job that another daemon owns now, and notify that daemon."""
         self._drop(job, f"handed over to {session}")
         self.notify(session, job.key)
 
     def notify(self, session: str, key: JobKey) -> None:
-        """Tell another daemon that a job is its own now, or has ended."""
+        """Notify another daemon that it owns a job now, or that the job has ended."""
         payload = encode_struct(JobNotice(key.customer, key.job))
         self._links.notify(session, DatagramKind.JOB_NOTICE, payload)
 
@@ -314,21 +316,21 @@
             self._writer.schedule(job)
 
     def recheck(self, job: OwnedJob) -> None:
-        """Ask the store again whether a job is this daemon's."""
+        """Recheck with the store whether this daemon still owns a job."""
         self._unconfirmed.add(job.key)
 
     def recheck_all(self) -> None:
-        """Ask the store again which jobs are this daemon's."""
+        """Recheck with the store which jobs this daemon still owns."""
         self._unconfirmed = set(self._registry.jobs)
 
     async def _async_recheck_ownership(self) -> None:
-        """Keep the jobs whose rows still stand as this daemon wrote them."""
+        """Ask the store about unconfirmed jobs, and drop those with another owner."""
         while True:
             await self._clock.async_sleep(RECHECK_MS if self._registry.jobs else IDLE_MS)
             for key in tuple(self._unconfirmed):
                 job = self._registry.jobs.get(key)
                 if job is None or not self._writer.is_idle(job):
-                    # A commit under way settles it as well.
+                    # A commit in progress verifies ownership as well.
                     self._unconfirmed.discard(key)
                     continue
                 opened = await self._records.async_find_open(key)
@@ -347,7 +349,7 @@
     def _drop(self, job: OwnedJob, reason: str) -> None:
         if self._registry.jobs.get(job.key) is not job:
             return
-        _LOGGER.info("Job left", extra={"job": job.key.job, "reason": reason})
+        _LOGGER.info("Job released", extra={"job": job.key.job, "reason": reason})
         self._core.meters.count_job("left")
         job.lost = True
         del self._registry.jobs[job.key]
@@ -356,12 +358,12 @@
         self._wake_readers(job.key)
 
     def _find_confirmed(self, key: JobKey) -> OwnedJob | None:
-        """Return a job whose listed results this daemon certainly knows."""
+        """Return a job whose committed results this daemon is certain to know."""
         job = self._registry.jobs.get(key)
         if job is None or job.lost:
             return None
-        # Cut off or frozen for longer, this daemon may have been replaced, and what it takes for all
-        # results be an old part of them: a reader would miss positions that it has seen before.
+        # After a longer isolation or pause, another daemon may have taken the job over and
+        # committed more results. A reader that has seen those would miss them here.
         if self._links.read_contact_age_ms() > LEASE_MS:
             self.recheck_all()
         return None if key in self._unconfirmed else job
@@ -389,7 +391,7 @@
     def _on_notice(self, sender: str, payload: bytes) -> None:
         decoded = decode_struct(JobNotice, payload)
         if isinstance(decoded, Err):
-            _LOGGER.warning("Notice unreadable: %s", decoded.err_value.message)
+            _LOGGER.warning("Job notice cannot be decoded: %s", decoded.err_value.message)
             return
         notice = decoded.ok_value
         self.load(JobKey(notice.customer, notice.job))
@@ -405,7 +407,7 @@
             try:
                 self._executor.tick()
             except Exception:
-                # One bad job must not stop the others.
+                # A failure in one job must not stop the others.
                 _LOGGER.exception("Batch tick failed")
 
     async def _async_wait_for(self, key: JobKey, wait_ms: int) -> None:
@@ -423,7 +425,7 @@
 
 
 def _restore(job: OwnedJob, committed: list[ItemResult], progress: list[SavedProgress]) -> None:
-    """Put a job as far as its owners before had brought it."""
+    """Restore the results and progress that a job's earlier owners saved."""
     job.committed = committed
     done = {result.item for result in committed}
     for item in job.items:
