--- a/goldcreststair/components/jobs/handover.py
+++ b/goldcreststair/components/jobs/handover.py
@@ -1,8 +1,8 @@
-"""Gives a leaving daemon's jobs to others, with what their items have brought.
+"""Hands the jobs of a leaving daemon over to others, with the progress of their items.
 
-Load it answers: VMs replaced in turn, two seconds apart, while bursts take the slots of their runs. A
-leaving daemon starts nothing more: a job that stays until its last run has ended keeps its waiting items
-from starting for up to four seconds.
+During rolling replacements, two seconds apart, online bursts may take the slots of a leaving
+daemon's runs. The daemon starts no more items, so a job that stayed until its last run has ended
+would keep its waiting items from starting for up to four seconds.
 """
 
 import logging
@@ -22,24 +22,24 @@
 _LOGGER = logging.getLogger(__name__)
 
 RETRY_MS = TICK_MS * 5
-"""Pause after a hand-over that the store did not take."""
+"""Delay after a handover that the store did not accept."""
 
 
 class HandoverSource(Protocol):
-    """The jobs of this daemon."""
+    """The jobs of the leaving daemon."""
 
     def is_idle(self, job: OwnedJob) -> bool:
         """Return whether no item of a job runs."""
 
     def release(self, job: OwnedJob, session: str) -> None:
-        """Stop a job that is another daemon's now, and tell that one."""
+        """Stop a job that another daemon owns now, and notify that daemon."""
 
     def recheck(self, job: OwnedJob) -> None:
-        """Ask the store again whether a job is this daemon's."""
+        """Recheck with the store whether this daemon still owns a job."""
 
 
 class JobHandover:
-    """Runs from the begin of a leave until this daemon ends."""
+    """Runs from the start of a leave until the daemon exits."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         writer: ResultWriter,
         source: HandoverSource,
     ) -> None:
-        """Hand over nothing yet."""
+        """Set up the handover; nothing is handed over before `async_run`."""
         self._core = core
         self._registry = registry
         self._records = records
@@ -57,10 +57,10 @@
         self._source = source
 
     async def async_run(self) -> None:
-        """Give each job away once all results are listed, and its runs have had time to end."""
+        """Hand each job over once its results are committed and its runs had time to finish."""
         clock = self._core.clock
         began_at = clock.now()
-        # Jobs that were being accepted or taken over when the leave began arrive after it.
+        # Jobs whose acceptance or takeover was in progress when the leave began are added later.
         while True:
             waited = clock.now() - began_at >= HANDOVER_GRACE_MS
             for job in tuple(self._registry.jobs.values()):
@@ -69,7 +69,7 @@
             await clock.async_sleep(TICK_MS)
 
     async def _async_hand_over(self, job: OwnedJob) -> None:
-        """Make another daemon the owner; runs go on until the store has agreed."""
+        """Make another daemon the owner; runs continue until the store has confirmed it."""
         session = choose_owner(self._core, job.key, job.open.route)
         if not session:
             return
@@ -77,7 +77,7 @@
         assigned = await self._records.async_assign(job.open, session, unsaved)
         if isinstance(assigned, Err):
             _LOGGER.warning("Job not handed over: %s", assigned.err_value.message)
-            # An earlier change may have been made although its answer was lost.
+            # An earlier change of the owner may have taken effect although its answer was lost.
             if isinstance(assigned.err_value, JobLost):
                 self._source.recheck(job)
             await self._core.clock.async_sleep(RETRY_MS)
--- a/goldcreststair/components/jobs/sweep_assignments.py
+++ b/goldcreststair/components/jobs/sweep_assignments.py
@@ -1,8 +1,8 @@
-"""Which daemon looks after the jobs of which customer; no I/O.
+"""Assigns each customer to the daemon that sweeps its jobs; no I/O.
 
-Load it answers: the VMs of a large fleet are replaced in turn, so that someone comes or goes at each look. Ranked
-anew, each customer with each daemon, this would cost every daemon the whole ranking each time; only what a
-change can touch is ranked here.
+In a large fleet with rolling replacements, the set of daemons changes before every sweep. Ranking
+every customer against every daemon each time would be too expensive on all daemons, so an update
+ranks only what the change can affect.
 """
 
 from collections.abc import Set as AbstractSet
@@ -11,16 +11,19 @@
 
 
 class SweepAssignments:
-    """Each customer has one daemon, chosen by rendezvous: the same on every daemon that knows the same."""
+    """Assignment of customers to daemons by rendezvous hashing.
+
+    Daemons with the same view of sessions and customers compute the same assignment.
+    """
 
     def __init__(self) -> None:
-        """Know nobody."""
+        """Start without sessions and customers."""
         self._sessions: frozenset[str] = frozenset()
         self._sweepers: dict[str, tuple[int, str]] = {}
-        """By customer: rank and session of the daemon that looks after it."""
+        """By customer: score and session of the daemon that sweeps it."""
 
     def update(self, sessions: AbstractSet[str], customers: AbstractSet[str]) -> None:
-        """Take the daemons that stay, and the customers that there are."""
+        """Set the sessions of the available daemons, and the customers to assign."""
         added = sessions - self._sessions
         self._sessions = frozenset(sessions)
         self._sweepers = {
@@ -28,7 +31,7 @@
         }
 
     def list_customers(self, session: str) -> list[str]:
-        """Return the customers that a daemon looks after, in order."""
+        """Return the customers assigned to a session, sorted by name."""
         return sorted(c for c, (_, sweeper) in self._sweepers.items() if sweeper == session)
 
     def _choose_sweeper(self, customer: str, added: AbstractSet[str]) -> tuple[int, str]:
--- a/goldcreststair/components/jobs/sweeping.py
+++ b/goldcreststair/components/jobs/sweeping.py
@@ -1,4 +1,4 @@
-"""Finds open jobs whose owner is gone, and removes jobs past their time."""
+"""Finds open jobs whose owner is lost, and removes old jobs."""
 
 import asyncio
 import logging
@@ -35,26 +35,26 @@
     """The jobs of this daemon."""
 
     def owns(self, key: JobKey) -> bool:
-        """Return whether this daemon runs a job."""
+        """Return whether this daemon runs a job, or is loading it."""
 
     def load(self, key: JobKey) -> None:
-        """Take over a job that the store names as this daemon's."""
+        """Take over a job whose row names this daemon."""
 
     def drop_ended(self, key: JobKey) -> None:
         """Stop a job that its caller ended."""
 
     def recheck_all(self) -> None:
-        """Ask the store again which jobs are this daemon's."""
+        """Recheck with the store which jobs this daemon still owns."""
 
     def notify(self, session: str, key: JobKey) -> None:
-        """Tell another daemon that a job is its own now."""
+        """Notify another daemon that it owns a job."""
 
 
 class JobSweeper:
-    """Each customer's open jobs are looked at by one daemon, chosen by rendezvous."""
+    """Checks the open jobs of the customers that are assigned to this daemon."""
 
     def __init__(self, core: GatewayCore, records: JobRecords, owner: JobOwner) -> None:
-        """Look at nothing yet."""
+        """Set up the sweeper; `owner` receives the jobs to take over."""
         self._core = core
         self._records = records
         self._owner = owner
@@ -65,22 +65,22 @@
         self._assigned_for: tuple[frozenset[str], frozenset[str]] = (frozenset(), frozenset())
         self._assignments = SweepAssignments()
         self._assigned: list[str] = []
-        """Customers that this daemon looks at, by the daemons and customers of `_ranked`."""
+        """Customers assigned to this daemon, for the daemons and customers in `_assigned_for`."""
         self._seen_versions: dict[JobKey, int] = {}
-        """Versions of the last sweep."""
+        """Versions of the jobs' rows at the last sweep."""
         self._sweeps = 0
         self._vm_lost = asyncio.Event()
         self._unsubscribe: Callable[[], None] = lambda: None
         self._task: asyncio.Task[None] | None = None
 
     async def async_start(self) -> None:
-        """Begin to look."""
+        """Start to sweep and to follow the ends of jobs."""
         await self._feed.async_start()
         self._unsubscribe = self._core.blackboard.subscribe(FLEET, self._on_fleet)
         self._task = asyncio.create_task(self._async_repeat())
 
     async def async_close(self) -> None:
-        """Stop."""
+        """Stop the sweeps."""
         self._unsubscribe()
         await self._feed.async_close()
         if self._task is not None:
@@ -89,17 +89,17 @@
             self._task = None
 
     def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
-        """Take it that ends of jobs may have been missed."""
+        """Recheck all jobs: ends may have been missed."""
         self._owner.recheck_all()
 
     def take_changes(self, rows: Sequence[StoredRow]) -> None:
-        """Take jobs that their callers ended."""
+        """Stop the jobs that their callers ended."""
         for row in rows:
             if not row.deleted:
                 self._owner.drop_ended(JobKey(row.key.part, row.key.key))
 
     def note_contact(self, *, reached: bool) -> None:
-        """Note whether the store answered."""
+        """Record whether the store answered."""
         if reached:
             self._links.note_store()
 
@@ -109,14 +109,15 @@
         self._sessions = frozenset(fleet.vms)
 
     async def _async_wait_for_sweep(self) -> None:
-        """Wait for the next sweep: soon after a VM has gone, whose jobs wait for a new owner."""
+        """Wait for the next sweep; it comes sooner after the loss of a VM."""
         await self._core.clock.async_sleep(SWEEP_SOON_MS)
         try:
             async with asyncio.timeout((SWEEP_MS - SWEEP_SOON_MS) / MS_PER_SECOND):
                 await self._vm_lost.wait()
         except TimeoutError:
             return
-        # Those who return together are heard one after the other; the owner is chosen among them.
+        # VMs that return together become reachable one after another; the new owners are chosen
+        # among all of them.
         self._vm_lost.clear()
         await self._core.clock.async_sleep(SWEEP_SOON_MS)
 
@@ -138,7 +139,7 @@
             await self._async_sweep_customer(customer)
 
     def _list_assigned(self, fleet: Fleet) -> list[str]:
-        """Return the customers whose jobs this daemon looks at."""
+        """Return the customers whose jobs this daemon sweeps."""
         eligible = list_eligible(self._core)
         customers = frozenset(self._core.blackboard.read(CATALOGUE).customers)
         if (eligible, customers) != self._assigned_for:
@@ -168,15 +169,15 @@
             elif self._seen_versions.get(job.key) == job.version:
                 self._notify_owner(job)
             return
-        # A daemon that has just started may have accepted a job before its session is known here,
-        # but never before it stands in the store.
+        # A daemon that has just started may accept a job before its session is known here, but
+        # never before its session is in the store.
         sessions = await self._links.async_list_sessions()
         if sessions is not None and job.owner not in sessions:
             await self._async_take_over(job)
 
     def _notify_owner(self, job: OpenJob) -> None:
-        # An owner whose accepting commit was answered too late does not know of its job, and one
-        # that a job was handed to may have missed the notice.
+        # An owner whose commit of the acceptance was answered too late does not know about its job,
+        # and one that a job was handed over to may have missed the notice.
         if job.owner != self._core.session_id:
             self._owner.notify(job.owner, job.key)
         elif not self._owner.owns(job.key):
@@ -214,14 +215,14 @@
 
 
 def choose_owner(core: GatewayCore, key: JobKey, route: str) -> str:
-    """Return the session that shall run a job: the same on every daemon that knows the same."""
+    """Return the session to own a job; daemons with the same fleet view choose the same one."""
     regions = find_job_regions(core.blackboard.read(CATALOGUE), key.customer, route)
     eligible = filter_by_region(core, list_eligible(core), regions)
     return max(eligible, key=lambda session: score(session, key.customer, key.job), default="")
 
 
 def filter_by_region(core: GatewayCore, sessions: Iterable[str], regions: Regions) -> list[str]:
-    """Return the sessions that stand in some regions."""
+    """Return the sessions whose VM is in one of `regions`; None means all."""
     if regions is None:
         return list(sessions)
     vms = core.blackboard.read(FLEET).vms
@@ -229,7 +230,10 @@
 
 
 def list_eligible(core: GatewayCore) -> frozenset[str]:
-    """Return the sessions that stay and that the store answers: others could read nothing of a job."""
+    """Return the sessions that may own jobs: those that are not leaving and can reach the store.
+
+    Without the store, a daemon could not read the items of a job.
+    """
     own = core.session_id
     eligible = set(core.get(FLEET_LINKS).list_with_store())
     ready = core.blackboard.read(FLEET).states.get(own) is VmState.READY
