--- a/goldcreststair/components/jobs/estimate.py
+++ b/goldcreststair/components/jobs/estimate.py
@@ -1,8 +1,8 @@
-"""How long an item still takes, learned from those that ended here or at other daemons; no I/O.
+"""Estimates how long an item still takes, from finished items here and at other daemons; no I/O.
 
-Load it answers: VMs that are replaced in turn or return all at once while jobs wait. A daemon that has
-just started has seen no answer; a guess of its own made it count items as late that had three times the
-time they needed, and they were never started. Learned from all daemons, they are started in time.
+A daemon that has just started, in a rolling replacement or after a loss of all VMs, has seen no
+answer yet. With a fixed default it classified items as late that had three times the time they
+needed, and never started them. Estimates shared between daemons avoid that.
 """
 
 from collections import Counter, OrderedDict
@@ -12,43 +12,43 @@
 from goldcreststair.components.jobs.registry import ItemProgress
 
 DEFAULT_EVENT_MS: Final = 30.0
-"""Time between two events, until runs have been seen."""
+"""Time between two events until runs have been observed, ms."""
 FIRST_EVENT_MS: Final = 60.0
-"""Time to a run's first event."""
+"""Time to a run's first event, ms."""
 MIN_WEIGHT: Final = 0.1
-"""Least weight of one more answer in both means: about the last ten count."""
+"""Minimum weight of a new answer in both averages: about the last ten answers count."""
 MIN_REMAINING_EVENTS: Final = 5
-"""An answer that is longer than usual is taken to end after so many more; so is one of a route whose
-answers nobody has seen: whether it can be in time is not known, so that it may start."""
+"""Remaining events assumed for an answer that is longer than usual, and for a route without
+observed answers: whether those can be in time is unknown, so they may start."""
 MAX_PACES: Final = 4
-"""Routes whose paces a beacon carries, those learned last: 20 bytes each."""
+"""Routes whose paces a beacon carries, the most recently updated ones; 20 bytes each."""
 
 
 @dataclass(frozen=True, slots=True)
 class Pace:
-    """What the answers of one route's items are like."""
+    """Typical length and speed of the answers on one route."""
 
     events_per_token: float
-    """Events of an answer for each token that its request may take."""
+    """Events of an answer per token that its request may use."""
     event_ms: float
-    """Time between two events."""
+    """Time between two events, ms."""
 
 
 class WorkEstimate:
-    """Learns, by route, the length of answers against their requests' tokens, and the pace of events."""
+    """Averages the length of answers per token and the time between events, by route."""
 
     def __init__(self) -> None:
-        """Know nothing."""
+        """Start without observations."""
         self._paces: OrderedDict[int, Pace] = OrderedDict()
         self._answers: Counter[int] = Counter()
-        """Whole answers seen here, by route."""
+        """Number of complete answers observed here, by route."""
 
     def learn(self, item: ItemProgress, run_events: int, run_ms: int) -> None:
-        """Take a whole answer, and the events and time of its last run."""
+        """Add a complete answer, with the number of events and the duration of its last run."""
         if item.item.tokens <= 0:
             return
         self._answers[item.route] += 1
-        # The first answers count in full: what the guess before them said is no evidence.
+        # The first answers count in full: the default before them is no evidence.
         weight = max(MIN_WEIGHT, 1 / self._answers[item.route])
         length = item.last_event / item.item.tokens
         known = self._paces.get(item.route, Pace(length, DEFAULT_EVENT_MS))
@@ -60,17 +60,17 @@
         self._paces.move_to_end(item.route)
 
     def apply_reported(self, route: int, pace: Pace) -> None:
-        """Take another daemon's word for a route of which no answer was seen here."""
+        """Use another daemon's pace for a route of which no answer was observed here."""
         if not self._answers[route]:
             self._paces[route] = pace
 
     def list_learned(self) -> dict[int, Pace]:
-        """Return what was learned here, of the routes learned last."""
+        """Return the paces observed here, of the most recently updated routes."""
         learned = [route for route in reversed(self._paces) if self._answers[route]]
         return {route: self._paces[route] for route in learned[:MAX_PACES]}
 
     def estimate_remaining_ms(self, item: ItemProgress) -> float:
-        """Return how long an item takes from a start now to its end."""
+        """Return the ms that an item would take from a start now to its end."""
         pace = self._paces.get(item.route, Pace(0.0, DEFAULT_EVENT_MS))
         expected = item.item.tokens * pace.events_per_token
         return (
--- a/goldcreststair/components/jobs/execution.py
+++ b/goldcreststair/components/jobs/execution.py
@@ -1,4 +1,4 @@
-"""Runs items of owned jobs in slots that online work leaves free, and gives them back."""
+"""Runs the items of owned jobs in slots that online requests leave free, and preempts them."""
 
 import asyncio
 import logging
@@ -61,7 +61,7 @@
     "yielded": "Item yielded",
     "stopped": "Item stopped",
 }
-"""One kind of line for each choice, so that each is sampled by itself."""
+"""Each choice has its own log message, so that log sampling treats each one separately."""
 
 
 @dataclass(slots=True, eq=False)
@@ -73,14 +73,14 @@
     runs: Runs
     began_at: Millis
     first_event: int
-    """Events that it had when this run began."""
+    """Last event of the item when this run began."""
     sink: ItemSink | None = None
     task: "asyncio.Task[Result[RunEnd, UpstreamError]] | None" = None
     ended: bool = False
 
 
 class ItemExecutor:
-    """Starts items, judges their runs, and stops them when online work needs their slots."""
+    """Starts items, handles the outcomes of their runs, and preempts them for online requests."""
 
     def __init__(
         self,
@@ -90,9 +90,13 @@
         estimate: WorkEstimate,
         count_waiting_elsewhere: Callable[[], int],
     ) -> None:
-        """Run nothing yet; `read_others_urgent` counts what waits at other daemons in time."""
+        """Set up the executor; nothing runs yet.
+
+        `count_waiting_elsewhere` returns the number of items that wait at other daemons and can
+        still be in time.
+        """
         self.waiting_in_time = 0
-        """Items that wait here and can be in time."""
+        """Number of items that wait here and can still be in time."""
         self._count_waiting_elsewhere = count_waiting_elsewhere
         self._estimate = estimate
         self._core = core
@@ -102,14 +106,14 @@
         self._placement = core.get(PLACEMENT)
         self._placement.on_yield(self._preempt)
         self._runs: dict[_Run, None] = {}
-        """In the order of their begin, which decides between equal ones; a set has no order."""
+        """Runs in the order of their start, which breaks ties in preemption; a set is unordered."""
         self._stopped = False
         self._digest_sequence: int | None = None
         self._starts_left: dict[str, int] = {}
-        """Items of each service that may still start by `_picture`, where all daemons share one."""
+        """By service: items that may still start under the digest `_digest_sequence`."""
 
     async def async_close(self) -> None:
-        """End every run."""
+        """Abort all runs."""
         self._stopped = True
         runs = tuple(self._runs)
         for run in runs:
@@ -118,27 +122,27 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def stop(self) -> None:
-        """Start nothing more; what runs may come to its end."""
+        """Start no more items; current runs may finish."""
         self._stopped = True
 
-    def stop_job(self, job: OwnedJob, why: str) -> None:
-        """End the runs of a job that is not this daemon's any more; `why` is for the log."""
+    def stop_job(self, job: OwnedJob, reason: str) -> None:
+        """Abort the runs of a job that this daemon no longer owns; `reason` is logged."""
         for run in tuple(self._runs):
             if run.job is job:
                 self._stop_run(run)
-                self._log(job, run.item, "stopped", why, run.upstream.name)
+                self._log(job, run.item, "stopped", reason, run.upstream.name)
 
     def is_idle(self, job: OwnedJob) -> bool:
         """Return whether no item of a job runs."""
         return all(run.job is not job for run in self._runs)
 
     def find_route(self, record: JobRecord) -> Route | None:
-        """Return the route of a job, as it stands now."""
+        """Return the current route of a job, or None if the catalogue has none."""
         catalogue = self._core.blackboard.read(CATALOGUE)
         return catalogue.find_route(record.route_host, record.route_prefix)
 
     def tick(self) -> None:
-        """Give up what waited too long, and start what may."""
+        """Give up items that have waited too long, and start the most urgent ones."""
         now = self._clock.now()
         for job, item in tuple(self._registry.list_expired(Millis(now - EXPIRY_MARGIN_MS))):
             self._finish(job, item, ItemResult(item.item.item, done=False), "waited too long")
@@ -154,7 +158,7 @@
         full: set[str] = set()
         blocked: set[JobKey] = set()
         for ranked in startable:
-            # A job's items share their service: one that finds no slot speaks for the rest.
+            # All items of a job use the same service: if one finds no slot, neither do the others.
             if ranked.job.key in blocked:
                 continue
             if not self._start(ranked, full):
@@ -165,7 +169,11 @@
                 return
 
     def _may_start_another(self, service: str) -> bool:
-        """Return whether this daemon may take one more slot by the picture that all share."""
+        """Return whether this daemon may take one more slot of a service now.
+
+        In a large fleet all daemons decide from the same digest, and each takes its part of the
+        free slots once per digest.
+        """
         controller = self._placement.controller
         sequence = controller.picture
         if sequence is None:
@@ -181,9 +189,9 @@
         return self._starts_left[service] > 0
 
     def _start(self, ranked: RankedItem, full: set[str]) -> bool:
-        """Start an item or judge it; returns False if it waits for its route or its service.
+        """Start an item, or give it up; returns False if its route or its service keeps it waiting.
 
-        A service without a slot is added to `full`.
+        A service without a free slot is added to `full`.
         """
         job, item = ranked.job, ranked.item
         catalogue = self._core.blackboard.read(CATALOGUE)
@@ -198,7 +206,7 @@
         if service in full:
             return False
         if self._core.get(CRASH_MARKS).is_refused(_make_fingerprint(job, item)):
-            # It waits until it may be given up: upstreams that it crashes run others' items as well.
+            # The item waits until it expires: the upstreams that it crashes run other items, too.
             item.not_before = Millis(self._clock.now() + POISON_PAUSE_MS)
             return True
         customer = catalogue.customers.get(job.key.customer)
@@ -217,7 +225,7 @@
         return True
 
     def _is_route_gone(self, job: OwnedJob) -> bool:
-        """Return whether a job whose route is missing has lost it for good."""
+        """Return whether a job's route has been missing long enough to count as removed."""
         if not self._core.blackboard.read(CATALOGUE).version:
             return False
         now = self._clock.now()
@@ -227,7 +235,7 @@
         return now - job.route_missing_since >= ROUTE_GONE_MS
 
     def _find_slot(self, service: str, regions: Regions, *, late: bool) -> UpstreamEntry | None:
-        """Return the upstream whose slot an item may take now."""
+        """Return an upstream with a slot that an item may take now, or None."""
         if not self._may_start_another(service):
             return None
         entry = self._placement.controller.choose_for_batch(service, regions)
@@ -236,9 +244,9 @@
         return None if late and not self._may_start_late(service) else entry
 
     def _may_start_late(self, service: str) -> bool:
-        """Return whether an item that is late anyway may take a slot.
+        """Return whether an item that will be late anyway may take a slot.
 
-        Other daemons' items that can be in time go first, unless there is room for all.
+        Items at other daemons that can be in time have priority, unless there is room for all.
         """
         free, slots = self._placement.controller.read_idle(service)
         return free > slots * LATE_FREE_SHARE or not self._count_waiting_elsewhere()
@@ -268,15 +276,16 @@
         self._close_run(run)
         error = task.exception()
         if error is not None:
-            _LOGGER.error("Item's run failed", exc_info=error)
+            _LOGGER.error("Run of an item raised an exception", exc_info=error)
             run.item.state = ItemState.WAITING
         elif not run.job.lost:
             self._handle_result(run, task.result())
 
     def _stop_run(self, run: _Run) -> None:
-        """End a run; what it brought is kept."""
-        # A task that is cancelled before its first step never runs: its item would wait for ever as
-        # running, and its slot stay taken in every daemon's book. Both are settled here.
+        """Abort a run; the events it received are kept."""
+        # A task that is cancelled before its first step never runs any code, so the state is
+        # updated here: otherwise its item would stay marked as running and its slot as taken on all
+        # daemons.
         self._close_run(run)
         if run.task is not None:
             run.task.cancel()
@@ -334,9 +343,9 @@
         if error.failure in (UpstreamFailure.CONNECT, UpstreamFailure.SILENT):
             self._placement.note_down(run.upstream, error.message, run.item.item.item)
         elif error.failure is UpstreamFailure.LOST:
-            mark = _make_fingerprint(run.job, run.item)
+            fingerprint = _make_fingerprint(run.job, run.item)
             begun = run.item.last_event > run.first_event
-            self._core.get(CRASH_MARKS).report_lost(run.upstream, mark, begun=begun)
+            self._core.get(CRASH_MARKS).report_lost(run.upstream, fingerprint, begun=begun)
         elif error.failure is UpstreamFailure.REFUSED:
             self._placement.controller.note_full(run.upstream.name)
 
--- a/goldcreststair/components/jobs/outcome.py
+++ b/goldcreststair/components/jobs/outcome.py
@@ -1,4 +1,4 @@
-"""What a run means for its item; no I/O."""
+"""Decides what happens to an item after a run; no I/O."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -12,12 +12,12 @@
 
 STATUS_OK: Final = 200
 STATUS_UNPROCESSABLE: Final = 422
-"""The upstream says that this item can never be done."""
+"""The upstream's answer for an item that can never succeed."""
 STATUS_FAILED: Final = 500
 
 
 class Verdict(StrEnum):
-    """What becomes of an item after a run."""
+    """What happens to an item after a run."""
 
     DONE = "done"
     GIVEN_UP = "given_up"
@@ -26,19 +26,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemVerdict:
-    """What becomes of an item after a run, and how it counts."""
+    """What happens to an item after a run, and how the run is counted."""
 
     verdict: Verdict
     failed: bool = False
-    """Whether the upstream answered with a failure of the item's own."""
+    """Whether the upstream answered with a failure of the item itself."""
     lost: bool = False
-    """Whether the run ended without any answer."""
+    """Whether the run ended without a conclusive answer."""
 
 
 def classify_run(
     end: Result[RunEnd, UpstreamError], failures: int, max_attempts: int
 ) -> ItemVerdict:
-    """Return what a run means for an item that has failed `failures` times before."""
+    """Classify a run of an item that has failed `failures` times before."""
     if isinstance(end, Err):
         return ItemVerdict(Verdict.AGAIN, lost=not end.err_value.not_run)
     status = end.ok_value.head.status
@@ -47,7 +47,7 @@
     if status == STATUS_UNPROCESSABLE:
         return ItemVerdict(Verdict.GIVEN_UP, failed=True)
     if status != STATUS_FAILED:
-        # A time-out of the upstream, or an answer that says nothing of the item itself.
+        # A timeout at the upstream, or an answer that says nothing about the item itself.
         return ItemVerdict(Verdict.AGAIN, lost=True)
     if failures + 1 >= max_attempts:
         return ItemVerdict(Verdict.GIVEN_UP, failed=True)
@@ -55,7 +55,7 @@
 
 
 def count_silent_runs(end: Result[RunEnd, UpstreamError], before: int) -> int:
-    """Return how many runs in a row were silent; one that did not run tells nothing."""
+    """Return the number of consecutive silent runs; one that did not start leaves it unchanged."""
     if isinstance(end, Ok):
         return 0
     if end.err_value.not_run:
@@ -64,7 +64,7 @@
 
 
 def choose_backoff_ms(failures: int) -> int:
-    """Return the ms before an item runs again after so many failures in a row.
+    """Return the delay in ms before the next run, after so many consecutive failures.
 
     >>> choose_backoff_ms(0), choose_backoff_ms(1), choose_backoff_ms(3), choose_backoff_ms(30)
     (0, 100, 400, 2000)
--- a/goldcreststair/components/jobs/runner.py
+++ b/goldcreststair/components/jobs/runner.py
@@ -1,4 +1,4 @@
-"""Runs one item at one upstream and keeps what it brought."""
+"""Runs one item at one upstream and collects its events."""
 
 import asyncio
 from collections.abc import Callable
@@ -32,7 +32,7 @@
         report_head: Callable[[RunHead], None],
         report_data: Callable[[], None],
     ) -> None:
-        """Go on after the item's last event."""
+        """Continue after the item's last event; callbacks report heads and data."""
         self.streams = True
         self.last_progress_at = clock.now()
         self.events = 0
@@ -46,28 +46,28 @@
         self._closed = False
 
     def close(self) -> None:
-        """Take nothing more: the item may go on in another run from here."""
+        """Ignore further data: the item may continue in another run from here."""
         self._closed = True
 
     @property
     def is_complete(self) -> bool:
-        """Whether the bytes end with a whole event and none is missing."""
+        """Whether the data ends with a complete event and no event is missing."""
         return not self._has_gap and not self._splitter.has_rest
 
     def take_head(self, head: RunHead) -> None:
-        """Note a sign of life."""
+        """Record the activity of the upstream, and report the head."""
         self.last_progress_at = self._clock.now()
         self._report_head(head)
 
     def take_data(self, chunk: bytes) -> None:
-        """Keep the events that this piece completes."""
+        """Add the events that this piece of data completes."""
         if self._closed:
             return
         self.last_progress_at = self._clock.now()
         self._report_data()
         for event in self._splitter.feed(chunk):
             self.events += 1
-            # A text with an event twice or left out is no result: each has its number.
+            # Events are numbered; a duplicate or missing one would corrupt the item's text.
             if self._has_gap or event.number != self._item.last_event + 1:
                 self._has_gap = self._has_gap or event.number > self._item.last_event + 1
                 continue
@@ -82,19 +82,19 @@
     sink: ItemSink,
     clock: Clock,
 ) -> Result[RunEnd, UpstreamError]:
-    """Run an item; cancelling closes the connection and keeps what came."""
+    """Run an item; cancellation closes the connection and keeps the received events."""
     run = asyncio.ensure_future(runner.async_run(address, call, sink))
-    looked_at = counted_from = clock.now()
+    checked_at = counted_from = clock.now()
     try:
         while True:
             done, _ = await asyncio.wait({run}, timeout=CHECK_INTERVAL_MS / MS_PER_SECOND)
             if done:
                 return _check_events(run.result(), sink)
             now = clock.now()
-            # Kept from reading, this process sees silence where there is none.
-            if now - looked_at > 2 * CHECK_INTERVAL_MS:
+            # If this process was paused, it read nothing: that is not silence of the upstream.
+            if now - checked_at > 2 * CHECK_INTERVAL_MS:
                 counted_from = now
-            looked_at = now
+            checked_at = now
             if _is_silent(sink, now, counted_from):
                 return Err(UpstreamError("upstream fell silent", UpstreamFailure.SILENT))
     finally:
