--- a/goldcreststair/components/jobs/api.py
+++ b/goldcreststair/components/jobs/api.py
@@ -1,4 +1,4 @@
-"""Callers' questions about jobs: who asks, and what each error means to them."""
+"""Calls about jobs from outside: identifies the customer, and turns errors into refusals."""
 
 from typing import Final
 
@@ -19,9 +19,9 @@
 from goldcreststair.helpers.refusals import Refusal, RefusalCode
 
 RETRY_MS: Final = 1_000
-"""When to come back to a store that does not answer: its outages last seconds."""
+"""Retry delay for callers while the store does not answer: its outages last seconds."""
 NO_ROOM_RETRY_MS: Final = 1_500
-"""When to come back with a job that found no room: some items end meanwhile."""
+"""Retry delay for callers at their limit of waiting tokens: some items finish meanwhile."""
 
 _CODES: Final = {
     JobProblem.INVALID: (RefusalCode.INVALID_REQUEST, True, 0),
@@ -33,23 +33,23 @@
 
 
 def refuse_job(error: JobError) -> Refusal:
-    """Turn an error of a job into a refusal."""
+    """Convert a job error into a refusal."""
     code, not_run, retry_ms = _CODES[error.problem]
     message = f"{error.field}: {error.message}" if error.field else error.message
     return Refusal(message, code, not_run=not_run, retry_after_ms=retry_ms)
 
 
 class JobApi:
-    """Serves callers' calls about jobs."""
+    """Serves the calls about jobs for an adapter."""
 
     def __init__(self, core: GatewayCore) -> None:
-        """Use the jobs of this daemon."""
+        """Serve calls through the job router."""
         self._core = core
         self._jobs = core.get(JOB_ROUTER)
         self._links = core.get(FLEET_LINKS)
 
     async def async_submit(self, admitted: AdmittedRequest) -> Result[None, Refusal]:
-        """Accept the job that a request carries."""
+        """Accept the job that a request submits."""
         request, route = admitted.request, admitted.route
         if admitted.customer is None or route.batch is None or request.method != "POST":
             message = "jobs are submitted by POST with a customer's key"
@@ -71,7 +71,7 @@
         return submitted.map_err(refuse_job)
 
     def identify(self, key: str, job: str) -> Result[JobKey, Refusal]:
-        """Return the job that a key may ask about."""
+        """Return the key of a job, for the customer that an API key belongs to."""
         catalogue = self._core.blackboard.read(CATALOGUE)
         if not catalogue.version or self._links.is_isolated():
             message = "no catalogue yet, or cut off from the fleet"
@@ -82,7 +82,7 @@
     async def async_read_results(
         self, key: JobKey, position: int, wait_ms: int
     ) -> Result[ResultPage, Refusal]:
-        """Return the results from a position on."""
+        """Return the results from a position on; waits at most a second for the first one."""
         page = await self._jobs.async_read_results(key, position, min(wait_ms, MS_PER_SECOND))
         return page.map_err(refuse_job)
 
--- a/goldcreststair/components/jobs/checkpoints.py
+++ b/goldcreststair/components/jobs/checkpoints.py
@@ -1,9 +1,9 @@
-"""Saves what running items have brought, so that a lost or leaving VM's work is not done twice.
+"""Saves the progress of items, so that the next owner of a job need not repeat their runs.
 
-Load it answers: all VMs are lost or replaced within seconds while batch fills every slot that online
-work leaves. An item takes some four seconds; run again from its first event by the next owner, it is
-late, and takes the slot of one that could still be in time. Saved and handed over, it
-goes on where it was.
+All VMs may be lost or replaced within seconds while batch items fill every slot that online
+requests leave. An item takes some four seconds: run again from its first event, it would be late,
+and it would take the slot of an item that can still be in time. From saved or handed-over progress,
+it continues where it was.
 """
 
 import asyncio
@@ -34,11 +34,11 @@
 _LOGGER = logging.getLogger(__name__)
 
 OnConflict = Callable[[OwnedJob], None]
-"""Takes a job whose row in the store is not as this daemon wrote it."""
+"""Called with a job whose row in the store is not as this daemon last wrote it."""
 
 
 def choose_interval_ms(daemons: int, jobs: int) -> int:
-    """Return how often a daemon with so many jobs saves, if the others have as many.
+    """Return the interval between saves, ms, assuming that all daemons run as many jobs.
 
     >>> choose_interval_ms(12, 3), choose_interval_ms(820, 1)
     (1000, 8200)
@@ -47,14 +47,15 @@
 
 
 def list_unsaved(job: OwnedJob, *, include_all: bool = False) -> list[SavedProgress]:
-    """Return the progress that is worth saving now, or all that one transaction can hold."""
+    """Return the progress worth saving, or with `include_all` all that fits a transaction."""
     waiting = [item for item in job.items if item.state in (ItemState.WAITING, ItemState.RUNNING)]
     unsaved = [item for item in waiting if _is_worth_saving(item, include_all=include_all)]
     chosen: list[SavedProgress] = []
     size = 0
     for item in sorted(unsaved, key=lambda item: item.saved_event - item.last_event):
         text = b"\n".join(item.data)
-        # What does not fit into one row stays as it was saved last: any beginning is good to go on from.
+        # A text that does not fit into one row keeps its last save: an item can continue after any
+        # prefix of its events.
         if len(text) > TEXT_PART_BYTES:
             continue
         size += len(text)
@@ -72,13 +73,13 @@
 
 
 def mark_saved(job: OwnedJob, saved: list[SavedProgress]) -> None:
-    """Take it that progress stands in the store."""
+    """Record that progress was saved in the store."""
     for progress in saved:
         job.items[progress.number].saved_event = progress.last_event
 
 
 class CheckpointWriter:
-    """Saves the progress of this daemon's jobs from time to time."""
+    """Saves the progress of this daemon's jobs periodically."""
 
     def __init__(
         self,
@@ -88,7 +89,7 @@
         writer: ResultWriter,
         on_conflict: OnConflict,
     ) -> None:
-        """Save nothing yet."""
+        """Set up the writer; nothing is saved before `async_start`."""
         self._core = core
         self._registry = registry
         self._records = records
@@ -97,11 +98,11 @@
         self._task: asyncio.Task[None] | None = None
 
     async def async_start(self) -> None:
-        """Begin to save."""
+        """Start to save periodically."""
         self._task = asyncio.create_task(self._async_repeat())
 
     async def async_close(self) -> None:
-        """Stop."""
+        """Stop saving."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -115,14 +116,14 @@
             try:
                 await self._async_save_all()
             except Exception:
-                # One job's progress must not keep the others' from being saved.
-                _LOGGER.exception("Progress not saved")
+                # A failure in one job must not keep the progress of others from being saved.
+                _LOGGER.exception("Saving of progress failed")
 
     async def _async_save_all(self) -> None:
         for job in sorted(self._registry.jobs.values(), key=attrgetter("due_at")):
             if self._core.store_contact.is_away():
                 return
-            # A listing under way changes the version that a save would be made under.
+            # A commit in progress changes the version that the save depends on.
             if not job.lost and self._writer.is_idle(job):
                 await self._async_save(job)
 
--- a/goldcreststair/components/jobs/reading.py
+++ b/goldcreststair/components/jobs/reading.py
@@ -1,4 +1,4 @@
-"""Answers readers of jobs, from memory where that is certain and else from the store."""
+"""Serves reads of jobs that this daemon does not run, from a cache or from the store."""
 
 import logging
 from collections import OrderedDict
@@ -23,7 +23,7 @@
 
 
 class _CachedJob:
-    """What this daemon has read of one job: none of it ever changes."""
+    """What this daemon has read of one job; cached data of a job never changes."""
 
     def __init__(self, record: JobRecord) -> None:
         self.record = record
@@ -36,28 +36,28 @@
 
 
 class JobReader:
-    """Keeps what it has read, the jobs read last, within a bound."""
+    """Reads jobs from the store and caches the most recently read ones, up to a size limit."""
 
     def __init__(self, records: JobRecords, clock: Clock) -> None:
-        """Start with nothing."""
+        """Start with an empty cache."""
         self._records = records
         self._clock = clock
         self._cache: OrderedDict[JobKey, _CachedJob] = OrderedDict()
 
     def cache_record(self, record: JobRecord) -> None:
-        """Remember a job that was just accepted or loaded."""
+        """Cache a job that was just accepted or loaded."""
         if record.key not in self._cache:
             self._cache[record.key] = _CachedJob(record)
 
     def has_results(self, key: JobKey, position: int) -> bool:
-        """Return whether results from a position on are known without the store."""
+        """Return whether results from a position on can be served without the store."""
         cached = self._cache.get(key)
         if cached is None:
             return False
         return position < len(cached.results) or len(cached.results) == cached.record.items
 
     def cache_results(self, record: JobRecord, results: list[ItemResult]) -> None:
-        """Remember the listed results of a job that this daemon ran."""
+        """Cache the committed results of a job that this daemon ran."""
         self.cache_record(record)
         cached = self._cache[record.key]
         if len(results) > len(cached.results):
@@ -81,7 +81,10 @@
     async def async_read(
         self, key: JobKey, position: int, wait_ms: int
     ) -> Result[ResultPage, JobError]:
-        """Return results from a position on, read from the store where they are not known."""
+        """Return results from a position on, read from the store if they are not cached.
+
+        If there are none yet, the store is read once more shortly before `wait_ms` is over.
+        """
         found = await self.async_find(key)
         if isinstance(found, Err):
             return found
@@ -104,7 +107,7 @@
             return Ok(cached.items)
         content = await self._records.async_read_object(found.ok_value.body_object)
         if isinstance(content, Err):
-            # The object goes once all items are listed or the job has ended.
+            # The object is removed once all results are committed or the job has ended.
             gone = isinstance(content.err_value, ObjectMissing)
             problem = JobProblem.MISSING if gone else JobProblem.UNAVAILABLE
             return Err(JobError(content.err_value.message, problem))
@@ -113,7 +116,7 @@
         return Ok(cached.items)
 
     def invalidate(self, key: JobKey) -> None:
-        """Drop a job whose record changed."""
+        """Remove a job whose record changed from the cache."""
         self._cache.pop(key, None)
 
     async def _async_read_page(
@@ -125,8 +128,8 @@
             read = await self._records.async_read_results(record.key, first)
             if isinstance(read, Err):
                 return Err(JobError(read.err_value.message))
-            # Two readers at once bring the same results: added twice, each would stand at two
-            # positions.
+            # Concurrent readers fetch the same results: appended twice, each result would appear at
+            # two positions.
             if len(cached.results) == first:
                 cached.results += read.ok_value
             self._trim()
@@ -140,7 +143,7 @@
 
 
 def make_page(total: int, results: list[ItemResult], position: int) -> ResultPage:
-    """Return the results from a position on, as many as one answer may hold."""
+    """Return the results from a position on, limited to the size of one answer."""
     page: list[ItemResult] = []
     size = 0
     for result in results[position:]:
--- a/goldcreststair/components/jobs/remote.py
+++ b/goldcreststair/components/jobs/remote.py
@@ -1,4 +1,4 @@
-"""Calls about jobs that another daemon makes for this one, as the store turns this VM away."""
+"""Calls about jobs that another daemon executes while the store is unavailable here."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -19,14 +19,15 @@
 _LOGGER = logging.getLogger(__name__)
 
 CALL_TIMEOUT_MS: Final = 2_500
-"""For one call: the other daemon's store answers within 300 ms where it is slow, and a reader may
-wait a second for a result."""
+"""Timeout of one call: the other daemon's store answers within 300 ms even when it is slow, and a
+reader may wait a second for a result."""
 MAX_TRIES: Final = 2
-"""Daemons that are asked, where the first one certainly did not get the call."""
+"""Daemons to try; the next one is tried only if the call was certainly not sent to the one
+before."""
 
 
 class RemoteJobs:
-    """Implements `Jobs` by asking daemons whose store answers."""
+    """Implements `Jobs` by calling daemons that can reach the store."""
 
     def __init__(
         self,
@@ -34,18 +35,18 @@
         choose: Callable[[list[str]], str],
         filter_by_region: Callable[[Iterable[str], Regions], list[str]],
     ) -> None:
-        """Ask over `links`; `choose` picks one of the sessions that `keep_inside` finds in some regions."""
+        """Call over `links`; `choose` picks one of the sessions that `filter_by_region` returns."""
         self._links = links
         self._choose = choose
         self._filter_by_region = filter_by_region
 
     @property
     def is_available(self) -> bool:
-        """Whether there is a daemon to ask."""
+        """Whether there is a daemon to call."""
         return bool(self._links.list_with_store())
 
     async def async_submit(self, submission: Submission) -> Result[None, JobError]:
-        """Have a job accepted."""
+        """Have another daemon accept a job."""
         call = JobCall(
             JobVerb.SUBMIT,
             submission.key.customer,
@@ -62,7 +63,7 @@
     async def async_read_results(
         self, key: JobKey, position: int, wait_ms: int
     ) -> Result[ResultPage, JobError]:
-        """Have results read."""
+        """Have another daemon read results."""
         call = JobCall(JobVerb.READ, key.customer, key.job, position=position, wait_ms=wait_ms)
         answer = await self._async_call_any(call)
         if isinstance(answer, Err):
@@ -72,12 +73,12 @@
         return Ok(ResultPage(reply.total or 0, results, position + len(results)))
 
     async def async_read_body(self, key: JobKey, item: str) -> Result[bytes, JobError]:
-        """Have a body read."""
+        """Have another daemon read the body of an item."""
         call = JobCall(JobVerb.BODY, key.customer, key.job, item=item)
         return (await self._async_call_any(call)).map(lambda reply: reply.body or b"")
 
     async def async_end(self, key: JobKey) -> Result[None, JobError]:
-        """Have a job ended."""
+        """Have another daemon end a job."""
         return (await self._async_call_any(JobCall(JobVerb.END, key.customer, key.job))).map(
             lambda _: None
         )
@@ -85,7 +86,7 @@
     async def _async_call_any(
         self, call: JobCall, regions: Regions = None
     ) -> Result[Any, JobError]:
-        error = JobError("the store answers no daemon that is heard")
+        error = JobError("no reachable daemon has access to the store")
         for _ in range(MAX_TRIES):
             sessions = self._filter_by_region(self._links.list_with_store(), regions)
             if not sessions:
@@ -114,7 +115,7 @@
 
 
 async def async_answer_call(jobs: Jobs, question: bytes) -> bytes:
-    """Make a call for another daemon; returns the encoded reply."""
+    """Execute a call for another daemon; returns the encoded reply."""
     decoded = decode_struct(JobCall, question)
     if isinstance(decoded, Err):
         reply = JobReply(JobProblem.UNAVAILABLE.value, decoded.err_value.message)
--- a/goldcreststair/components/jobs/result_writer.py
+++ b/goldcreststair/components/jobs/result_writer.py
@@ -1,4 +1,4 @@
-"""Lists results in the store, one change after the other for each job."""
+"""Commits results to the store, one transaction at a time per job."""
 
 import asyncio
 import logging
@@ -22,46 +22,48 @@
 _LOGGER = logging.getLogger(__name__)
 
 OnLost = Callable[[OwnedJob, str], None]
-"""Takes a job that is not this daemon's any more, and why."""
+"""Called with a job that this daemon no longer owns, and the reason."""
 OnCommitted = Callable[[OwnedJob], None]
-"""Takes a job of which more is listed."""
+"""Called with a job after more of its results were committed."""
 
 
 class ResultWriter:
-    """Goes on through outages of the store: what is finished is kept until it is listed."""
+    """Retries through outages of the store: finished results are kept until they are committed."""
 
     def __init__(
         self, core: GatewayCore, records: JobRecords, on_committed: OnCommitted, on_lost: OnLost
     ) -> None:
-        """List nothing yet."""
+        """Set up the writer; nothing is committed yet."""
         self._clock = core.clock
         self._records = records
         self._on_committed = on_committed
         self._on_lost = on_lost
         self._tasks: dict[OwnedJob, asyncio.Task[None]] = {}
-        """By stay of a job with this daemon: one that comes back has nothing to do with its former listing."""
+        """By job object, not by key: a job that is taken over again is independent of commits of
+        its earlier ownership."""
 
     async def async_close(self) -> None:
-        """Stop; what is not listed is run again by the next owner."""
+        """Stop; the next owner runs items again whose results are not committed."""
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def schedule(self, job: OwnedJob) -> None:
-        """List what a job has finished, and what it finishes meanwhile."""
+        """Commit the finished results of a job, and those that finish meanwhile."""
         if job not in self._tasks:
             self._tasks[job] = asyncio.create_task(self._async_run(job))
 
     def is_idle(self, job: OwnedJob) -> bool:
-        """Return whether everything finished is listed."""
+        """Return whether all finished results are committed."""
         return job not in self._tasks
 
     async def _async_run(self, job: OwnedJob) -> None:
         try:
             await self._async_commit_finished(job)
         finally:
-            # Within its last step: a result that comes before a callback of its end would be left.
+            # Removed in the task's last step: a result that arrives between its end and a done
+            # callback would not be committed.
             del self._tasks[job]
 
     async def _async_commit_finished(self, job: OwnedJob) -> None:
@@ -94,7 +96,7 @@
         return self._records.prepare_commit(job.open, chosen, failures, saved), len(chosen)
 
     async def _async_commit(self, job: OwnedJob, commit: ResultCommit) -> bool:
-        """Try one listing until it is made or the job is lost; returns whether it was made."""
+        """Retry one commit until it succeeds or the job is lost; returns whether it succeeded."""
         pause_ms = COMMIT_RETRY_MS
         while not job.lost:
             result = await self._records.async_commit_results(commit)
@@ -105,9 +107,10 @@
             if isinstance(error, JobLost):
                 self._on_lost(job, "ended" if error.ended else error.message)
                 return False
-            # The results stay here meanwhile: run again, they would cost their slots twice.
+            # The results are kept here meanwhile: to run the items again would cost their slots
+            # twice.
             extra = {"job": job.key.job, "results": len(commit.puts), "reason": error.message}
-            _LOGGER.warning("Results not listed yet", extra=extra)
+            _LOGGER.warning("Results not committed; retrying", extra=extra)
             await self._clock.async_sleep(pause_ms)
             pause_ms = min(MAX_COMMIT_RETRY_MS, pause_ms * 2)
         return False
@@ -123,4 +126,4 @@
         self._on_lost(job, "finished")
         dropped = await self._records.async_drop_object(job.record.body_object)
         if isinstance(dropped, Err):
-            _LOGGER.warning("Object of a finished job stays: %s", dropped.err_value.message)
+            _LOGGER.warning("Object of a finished job not removed: %s", dropped.err_value.message)
--- a/goldcreststair/components/jobs/router.py
+++ b/goldcreststair/components/jobs/router.py
@@ -1,7 +1,7 @@
-"""Where a call about a job is made: here, or by another daemon whose store answers.
+"""Routes a call about a job to this daemon, or to another one that can reach the store.
 
-Load it answers: the store turns some VMs away for seconds while callers reach them all the same. A
-submission that waits there for the store is late even if the caller's next one succeeds.
+The store can reject some VMs for seconds while callers still reach them. A submission that waited
+there for the store would be late, even if the caller's next attempt succeeds.
 """
 
 from collections.abc import Awaitable, Callable
@@ -19,16 +19,16 @@
 
 
 class JobRouter:
-    """Implements `Jobs` over the daemon's own jobs and those of others."""
+    """Implements `Jobs` with this daemon's jobs or, if that cannot work, through another daemon."""
 
     def __init__(self, local: LocalJobs, remote: RemoteJobs, contact: StoreContact) -> None:
-        """Prefer `own` while the store answers."""
+        """Route to `local` while the store answers, else to `remote`."""
         self._local = local
         self._remote = remote
         self._contact = contact
 
     async def async_submit(self, submission: Submission) -> Result[None, JobError]:
-        """Accept a job; a repeated one is accepted once."""
+        """Accept a job; submitting it again is no error and does not run it twice."""
         return await self._async_call(
             self._local.can_accept,
             lambda: self._local.async_submit(submission),
@@ -67,10 +67,11 @@
         call_local: Callable[[], Awaitable[Result[T, JobError]]],
         call_remote: Callable[[], Awaitable[Result[T, JobError]]],
     ) -> Result[T, JobError]:
-        """Make a call here if it can succeed here, else elsewhere if that can."""
+        """Make a call here if that can succeed; otherwise, or if it fails, at another daemon."""
         if not prefer_local:
             return await call_remote()
         done = await call_local()
         failed = isinstance(done, Err) and done.err_value.problem is JobProblem.UNAVAILABLE
-        # Nothing was done here, and others may still reach the store.
+        # `UNAVAILABLE` means that nothing was changed here, and other daemons may still reach the
+        # store.
         return await call_remote() if failed and self._remote.is_available else done
