--- a/goldcreststair/components/forwarding/service.py
+++ b/goldcreststair/components/forwarding/service.py
@@ -21,7 +21,7 @@
 from goldcreststair.components.forwarding.refusals import log_refusal, make_retryable_refusal
 from goldcreststair.components.forwarding.request import ForwardedRequest, ForwardingContext
 from goldcreststair.components.forwarding.silence_detector import SilenceMonitor
-from goldcreststair.components.jobs.desk import JOB_DESK
+from goldcreststair.components.jobs.api import JOB_API
 from goldcreststair.components.placement.service import PLACEMENT
 from goldcreststair.components.quotas.service import QUOTAS
 from goldcreststair.components.requests.admission import (
@@ -61,7 +61,7 @@
         self._links = core.get(FLEET_LINKS)
         self._quotas = core.get(QUOTAS)
         self._crash_marks = core.get(CRASH_TRACKER)
-        self._job_api = core.get(JOB_DESK)
+        self._job_api = core.get(JOB_API)
         self._placement = core.get(PLACEMENT)
         self._durations = RequestDurations(core.clock)
         self.budget = RetryBudget()
--- a/goldcreststair/components/jobs/handover.py
+++ b/goldcreststair/components/jobs/handover.py
@@ -1,8 +1,8 @@
-"""Gives a leaving daemon's jobs to others, with what their items have brought.
+"""Hands the jobs of a leaving daemon over to others, with the progress of their items.
 
-Load it answers: VMs replaced in turn, two seconds apart, while bursts take the slots of their runs. A
-leaving daemon starts nothing more: a job that stays until its last run has ended keeps its waiting items
-from starting for up to four seconds.
+During rolling replacements, two seconds apart, online bursts may take the slots of a leaving
+daemon's runs. The daemon starts no more items, so a job that stayed until its last run has ended
+would keep its waiting items from starting for up to four seconds.
 """
 
 import logging
@@ -10,76 +10,76 @@
 
 from result import Err
 
-from goldcreststair.components.jobs.book import JobBook, OwnedJob
 from goldcreststair.components.jobs.checkpoints import list_unsaved
-from goldcreststair.components.jobs.const import HAND_OVER_MS, TICK_MS
+from goldcreststair.components.jobs.const import HANDOVER_GRACE_MS, TICK_MS
 from goldcreststair.components.jobs.errors import JobLost
-from goldcreststair.components.jobs.lister import JobLister
 from goldcreststair.components.jobs.records import JobRecords
+from goldcreststair.components.jobs.registry import JobRegistry, OwnedJob
+from goldcreststair.components.jobs.result_writer import ResultWriter
 from goldcreststair.components.jobs.sweeping import choose_owner
 from goldcreststair.gateway_core import GatewayCore
 
 _LOGGER = logging.getLogger(__name__)
 
 RETRY_MS = TICK_MS * 5
-"""Pause after a hand-over that the store did not take."""
+"""Delay after a handover that the store did not accept."""
 
 
-class JobGiver(Protocol):
-    """The jobs of this daemon."""
+class HandoverSource(Protocol):
+    """The jobs of the leaving daemon."""
 
     def is_idle(self, job: OwnedJob) -> bool:
         """Return whether no item of a job runs."""
 
-    def give_up(self, job: OwnedJob, session: str) -> None:
-        """Stop a job that is another daemon's now, and tell that one."""
+    def release(self, job: OwnedJob, session: str) -> None:
+        """Stop a job that another daemon owns now, and notify that daemon."""
 
-    def doubt(self, job: OwnedJob) -> None:
-        """Ask the store again whether a job is this daemon's."""
+    def recheck(self, job: OwnedJob) -> None:
+        """Recheck with the store whether this daemon still owns a job."""
 
 
 class JobHandover:
-    """Runs from the begin of a leave until this daemon ends."""
+    """Runs from the start of a leave until the daemon exits."""
 
     def __init__(
         self,
         core: GatewayCore,
-        book: JobBook,
+        registry: JobRegistry,
         records: JobRecords,
-        lister: JobLister,
-        giver: JobGiver,
+        writer: ResultWriter,
+        source: HandoverSource,
     ) -> None:
-        """Hand over nothing yet."""
+        """Set up the handover; nothing is handed over before `async_run`."""
         self._core = core
-        self._book = book
+        self._registry = registry
         self._records = records
-        self._lister = lister
-        self._giver = giver
+        self._writer = writer
+        self._source = source
 
     async def async_run(self) -> None:
-        """Give each job away once all results are listed, and its runs have had time to end."""
+        """Hand each job over once its results are committed and its runs had time to finish."""
         clock = self._core.clock
         began_at = clock.now()
-        # Jobs that were being accepted or taken over when the leave began arrive after it.
+        # Jobs whose acceptance or takeover was in progress when the leave began are added later.
         while True:
-            waited = clock.now() - began_at >= HAND_OVER_MS
-            for job in tuple(self._book.jobs.values()):
-                if self._lister.is_idle(job) and (waited or self._giver.is_idle(job)):
-                    await self._async_give(job)
+            waited = clock.now() - began_at >= HANDOVER_GRACE_MS
+            for job in tuple(self._registry.jobs.values()):
+                if self._writer.is_idle(job) and (waited or self._source.is_idle(job)):
+                    await self._async_hand_over(job)
             await clock.async_sleep(TICK_MS)
 
-    async def _async_give(self, job: OwnedJob) -> None:
-        """Make another daemon the owner; runs go on until the store has agreed."""
+    async def _async_hand_over(self, job: OwnedJob) -> None:
+        """Make another daemon the owner; runs continue until the store has confirmed it."""
         session = choose_owner(self._core, job.key, job.open.route)
         if not session:
             return
-        unsaved = list_unsaved(job, all_of_it=True)
-        given = await self._records.async_assign(job.open, session, unsaved)
-        if isinstance(given, Err):
-            _LOGGER.warning("Job not handed over: %s", given.err_value.message)
-            # An earlier change may have been made although its answer was lost.
-            if isinstance(given.err_value, JobLost):
-                self._giver.doubt(job)
+        unsaved = list_unsaved(job, include_all=True)
+        assigned = await self._records.async_assign(job.open, session, unsaved)
+        if isinstance(assigned, Err):
+            _LOGGER.warning("Job not handed over: %s", assigned.err_value.message)
+            # An earlier change of the owner may have taken effect although its answer was lost.
+            if isinstance(assigned.err_value, JobLost):
+                self._source.recheck(job)
             await self._core.clock.async_sleep(RETRY_MS)
             return
-        self._giver.give_up(job, session)
+        self._source.release(job, session)
--- a/goldcreststair/components/jobs/sweeping.py
+++ b/goldcreststair/components/jobs/sweeping.py
@@ -1,4 +1,4 @@
-"""Finds open jobs whose owner is gone, and removes jobs past their time."""
+"""Finds open jobs whose owner is lost, and removes old jobs."""
 
 import asyncio
 import logging
@@ -12,16 +12,16 @@
 from goldcreststair.components.fleet.models import FLEET, Fleet, VmState
 from goldcreststair.components.fleet.protocols import FLEET_LINKS
 from goldcreststair.components.jobs.const import (
-    ADOPT_MS,
     RETENTION_MARGIN_MS,
     RETENTION_SWEEPS,
     SWEEP_MS,
     SWEEP_SOON_MS,
     TABLE_ENDS,
+    TAKEOVER_AFTER_MS,
 )
 from goldcreststair.components.jobs.models import JobKey, OpenJob
 from goldcreststair.components.jobs.records import JobRecords
-from goldcreststair.components.jobs.wards import Wards
+from goldcreststair.components.jobs.sweep_assignments import SweepAssignments
 from goldcreststair.const import MS_PER_SECOND
 from goldcreststair.gateway_core import GatewayCore
 from goldcreststair.helpers.rendezvous import score
@@ -35,26 +35,26 @@
     """The jobs of this daemon."""
 
     def owns(self, key: JobKey) -> bool:
-        """Return whether this daemon runs a job."""
+        """Return whether this daemon runs a job, or is loading it."""
 
     def load(self, key: JobKey) -> None:
-        """Take over a job that the store names as this daemon's."""
+        """Take over a job whose row names this daemon."""
 
     def drop_ended(self, key: JobKey) -> None:
         """Stop a job that its caller ended."""
 
-    def doubt_all(self) -> None:
-        """Ask the store again which jobs are this daemon's."""
+    def recheck_all(self) -> None:
+        """Recheck with the store which jobs this daemon still owns."""
 
     def notify(self, session: str, key: JobKey) -> None:
-        """Tell another daemon that a job is its own now."""
+        """Notify another daemon that it owns a job."""
 
 
 class JobSweeper:
-    """Each customer's open jobs are looked at by one daemon, chosen by rendezvous."""
+    """Checks the open jobs of the customers that are assigned to this daemon."""
 
     def __init__(self, core: GatewayCore, records: JobRecords, owner: JobOwner) -> None:
-        """Look at nothing yet."""
+        """Set up the sweeper; `owner` receives the jobs to take over."""
         self._core = core
         self._records = records
         self._owner = owner
@@ -64,25 +64,25 @@
         )
 
         self._sessions: frozenset[str] = frozenset()
-        self._ranked: tuple[frozenset[str], frozenset[str]] = (frozenset(), frozenset())
-        self._wards = Wards()
-        self._mine: list[str] = []
-        """Customers that this daemon looks at, by the daemons and customers of `_ranked`."""
-        self._seen: dict[JobKey, int] = {}
-        """Versions of the last sweep."""
+        self._assigned_for: tuple[frozenset[str], frozenset[str]] = (frozenset(), frozenset())
+        self._assignments = SweepAssignments()
+        self._assigned: list[str] = []
+        """Customers assigned to this daemon, for the daemons and customers in `_assigned_for`."""
+        self._seen_versions: dict[JobKey, int] = {}
+        """Versions of the jobs' rows at the last sweep."""
         self._sweeps = 0
-        self._vm_gone = asyncio.Event()
+        self._vm_lost = asyncio.Event()
         self._unsubscribe: Callable[[], None] = lambda: None
         self._task: asyncio.Task[None] | None = None
 
     async def async_start(self) -> None:
-        """Begin to look."""
+        """Start to sweep and to follow the ends of jobs."""
         await self._feed.async_start()
         self._unsubscribe = self._core.blackboard.subscribe(FLEET, self._on_fleet)
         self._task = asyncio.create_task(self._async_repeat())
 
     async def async_close(self) -> None:
-        """Stop."""
+        """Stop the sweeps."""
         self._unsubscribe()
         await self._feed.async_close()
         if self._task is not None:
@@ -91,40 +91,41 @@
             self._task = None
 
     def replace_all(self, rows: Sequence[StoredRow], version: Version) -> None:
-        """Take it that ends of jobs may have been missed."""
-        self._owner.doubt_all()
+        """Recheck all jobs: ends may have been missed."""
+        self._owner.recheck_all()
 
     def apply_changes(self, rows: Sequence[StoredRow]) -> None:
-        """Take jobs that their callers ended."""
+        """Stop the jobs that their callers ended."""
         for row in rows:
             if not row.deleted:
                 self._owner.drop_ended(JobKey(row.key.part, row.key.key))
 
     def record_contact(self, *, reached: bool) -> None:
-        """Note whether the store answered."""
+        """Record whether the store answered."""
         if reached:
             self._links.record_store_contact()
 
     def _on_fleet(self, fleet: Fleet) -> None:
         if self._sessions - fleet.vms.keys():
-            self._vm_gone.set()
+            self._vm_lost.set()
         self._sessions = frozenset(fleet.vms)
 
-    async def _async_pause(self) -> None:
-        """Wait for the next sweep: soon after a VM has gone, whose jobs wait for a new owner."""
+    async def _async_wait_for_sweep(self) -> None:
+        """Wait for the next sweep; it comes sooner after the loss of a VM."""
         await self._core.clock.async_sleep(SWEEP_SOON_MS)
         try:
             async with asyncio.timeout((SWEEP_MS - SWEEP_SOON_MS) / MS_PER_SECOND):
-                await self._vm_gone.wait()
+                await self._vm_lost.wait()
         except TimeoutError:
             return
-        # Those who return together are heard one after the other; the owner is chosen among them.
-        self._vm_gone.clear()
+        # VMs that return together become reachable one after another; the new owners are chosen
+        # among all of them.
+        self._vm_lost.clear()
         await self._core.clock.async_sleep(SWEEP_SOON_MS)
 
     async def _async_repeat(self) -> None:
         while True:
-            await self._async_pause()
+            await self._async_wait_for_sweep()
             try:
                 await self._async_sweep()
             except Exception:
@@ -136,55 +137,55 @@
         if not fleet.loaded or self._links.is_isolated():
             return
         self._sweeps += 1
-        for customer in self._find_mine(fleet):
+        for customer in self._list_assigned(fleet):
             await self._async_sweep_customer(customer)
 
-    def _find_mine(self, fleet: Fleet) -> list[str]:
-        """Return the customers whose jobs this daemon looks at."""
-        staying = list_able(self._core)
+    def _list_assigned(self, fleet: Fleet) -> list[str]:
+        """Return the customers whose jobs this daemon sweeps."""
+        eligible = list_eligible(self._core)
         customers = frozenset(self._core.blackboard.read(CATALOGUE).customers)
-        if (staying, customers) != self._ranked:
-            self._ranked = (staying, customers)
-            self._wards.update(staying, customers)
-            self._mine = self._wards.list_of(fleet.own_session)
-        return self._mine
+        if (eligible, customers) != self._assigned_for:
+            self._assigned_for = (eligible, customers)
+            self._assignments.update(eligible, customers)
+            self._assigned = self._assignments.list_customers(fleet.own_session)
+        return self._assigned
 
     async def _async_sweep_customer(self, customer: str) -> None:
         listed = await self._records.async_list_open(customer)
         if isinstance(listed, Err):
             return
         for job in listed.ok_value.values():
-            await self._async_look(job)
+            await self._async_check_owner(job)
         seen = {job.key: job.version for job in listed.ok_value.values()}
-        others = {key: v for key, v in self._seen.items() if key.customer != customer}
-        self._seen = others | seen
+        others = {key: v for key, v in self._seen_versions.items() if key.customer != customer}
+        self._seen_versions = others | seen
 
         if self._sweeps % RETENTION_SWEEPS == 0:
             await self._async_remove_old(customer, listed.ok_value)
 
-    async def _async_look(self, job: OpenJob) -> None:
+    async def _async_check_owner(self, job: OpenJob) -> None:
         fleet = self._core.blackboard.read(FLEET)
         if job.owner in fleet.vms:
-            if self._links.is_lost(job.owner, ADOPT_MS):
-                await self._async_adopt(job)
-            elif self._seen.get(job.key) == job.version:
-                self._remind(job)
+            if self._links.is_lost(job.owner, TAKEOVER_AFTER_MS):
+                await self._async_take_over(job)
+            elif self._seen_versions.get(job.key) == job.version:
+                self._notify_owner(job)
             return
-        # A daemon that has just started may have accepted a job before its session is known here,
-        # but never before it stands in the store.
+        # A daemon that has just started may accept a job before its session is known here, but
+        # never before its session is in the store.
         sessions = await self._links.async_list_sessions()
         if sessions is not None and job.owner not in sessions:
-            await self._async_adopt(job)
+            await self._async_take_over(job)
 
-    def _remind(self, job: OpenJob) -> None:
-        # An owner whose accepting commit was answered too late does not know of its job, and one
-        # that a job was handed to may have missed the notice.
+    def _notify_owner(self, job: OpenJob) -> None:
+        # An owner whose commit of the acceptance was answered too late does not know about its job,
+        # and one that a job was handed over to may have missed the notice.
         if job.owner != self._core.session_id:
             self._owner.notify(job.owner, job.key)
         elif not self._owner.owns(job.key):
             self._owner.load(job.key)
 
-    async def _async_adopt(self, job: OpenJob) -> None:
+    async def _async_take_over(self, job: OpenJob) -> None:
         session = choose_owner(self._core, job.key, job.route)
         if not session:
             return
@@ -206,7 +207,9 @@
             return
         kept_ms = int(self._core.settings.job_read_s * MS_PER_SECOND) + RETENTION_MARGIN_MS
         for record in listed.ok_value:
-            age_ms = self._core.clock.now() - self._records.time.turn(record.submitted_at)
+            age_ms = self._core.clock.now() - self._records.store_clock.to_local(
+                record.submitted_at
+            )
             if record.key.job not in opened and age_ms > kept_ms:
                 removed = await self._records.async_remove(record)
                 if isinstance(removed, Err):
@@ -214,25 +217,28 @@
 
 
 def choose_owner(core: GatewayCore, key: JobKey, route: str) -> str:
-    """Return the session that shall run a job: the same on every daemon that knows the same."""
+    """Return the session to own a job; daemons with the same fleet view choose the same one."""
     regions = find_job_regions(core.blackboard.read(CATALOGUE), key.customer, route)
-    able = keep_inside(core, list_able(core), regions)
-    return max(able, key=lambda session: score(session, key.customer, key.job), default="")
+    eligible = filter_by_region(core, list_eligible(core), regions)
+    return max(eligible, key=lambda session: score(session, key.customer, key.job), default="")
 
 
-def keep_inside(core: GatewayCore, sessions: Iterable[str], regions: Regions) -> list[str]:
-    """Return the sessions that stand in some regions."""
+def filter_by_region(core: GatewayCore, sessions: Iterable[str], regions: Regions) -> list[str]:
+    """Return the sessions whose VM is in one of `regions`; None means all."""
     if regions is None:
         return list(sessions)
     vms = core.blackboard.read(FLEET).vms
     return [session for session in sessions if session in vms and vms[session].region in regions]
 
 
-def list_able(core: GatewayCore) -> frozenset[str]:
-    """Return the sessions that stay and that the store answers: others could read nothing of a job."""
+def list_eligible(core: GatewayCore) -> frozenset[str]:
+    """Return the sessions that may own jobs: those that are not leaving and can reach the store.
+
+    Without the store, a daemon could not read the items of a job.
+    """
     own = core.session_id
-    able = set(core.get(FLEET_LINKS).list_with_store_access())
+    eligible = set(core.get(FLEET_LINKS).list_with_store_access())
     ready = core.blackboard.read(FLEET).states.get(own) is VmState.READY
     if ready and not core.store_contact.is_unavailable():
-        able.add(own)
-    return frozenset(able)
+        eligible.add(own)
+    return frozenset(eligible)
