--- a/goldcreststair/components/jobs/service.py
+++ b/goldcreststair/components/jobs/service.py
@@ -198,7 +198,9 @@
 
     def can_read_items(self, key: JobKey) -> bool:
         """Return whether a job's items can be read here now."""
-        return not self._core.store_contact.is_unavailable() or self._find_confirmed(key) is not None
+        return (
+            not self._core.store_contact.is_unavailable() or self._find_confirmed(key) is not None
+        )
 
     def begin_leave(self) -> None:
         """Start no more items, and hand over all jobs."""
--- a/goldcreststair/components/quotas/controller.py
+++ b/goldcreststair/components/quotas/controller.py
@@ -330,6 +330,9 @@
             earned = (now - bucket.at) * customer.rate_per_s / MS_PER_SECOND
             bucket.level = min(customer.burst * fraction, bucket.level + earned * fraction)
             bucket.withheld += earned * (1 - fraction)
-        if self._all_reachable_since is not None and now - self._all_reachable_since > UNRESPONSIVE_MS:
+        if (
+            self._all_reachable_since is not None
+            and now - self._all_reachable_since > UNRESPONSIVE_MS
+        ):
             bucket.withheld = 0.0
         bucket.at = now
--- a/tests/components/fleet/test_relayed_fleet.py
+++ b/tests/components/fleet/test_relayed_fleet.py
@@ -206,7 +206,9 @@
         await fleet.async_kill(gone)
         before = fleet.store.reads[TABLE_HEARTBEATS]
         # Its silence counts from the first reading of its heartbeat on.
-        await fleet.clock.async_sleep(UNREACHABLE_MS + HEARTBEAT_READ_MS + TAKEOVER_AFTER_MS + NEWS_MS)
+        await fleet.clock.async_sleep(
+            UNREACHABLE_MS + HEARTBEAT_READ_MS + TAKEOVER_AFTER_MS + NEWS_MS
+        )
         links = [member.core.get(FLEET_LINKS) for member in kept]
         assert all(each.is_lost(session, TAKEOVER_AFTER_MS) for each in links)
         assert fleet.store.reads[TABLE_HEARTBEATS] - before < 100
