--- a/goldcreststair/components/evacuation/__init__.py
+++ b/goldcreststair/components/evacuation/__init__.py
@@ -1,4 +1,4 @@
-"""Data centres whose upstreams get no new work until operators allow it again."""
+"""Evacuation of data centres: their upstreams get no new work until operators end it."""
 
 from goldcreststair.components.evacuation.service import EvacuationService
 from goldcreststair.core import Component
@@ -6,5 +6,5 @@
 
 
 async def async_setup(core: GatewayCore) -> Component:
-    """Set up the follower."""
+    """Set up the evacuation component."""
     return EvacuationService(core)
--- a/goldcreststair/components/evacuation/controller.py
+++ b/goldcreststair/components/evacuation/controller.py
@@ -1,4 +1,4 @@
-"""Keeps which data centres are evacuated, from the store and from other daemons; no I/O."""
+"""Keeps the evacuated data centres as reported by the store and other daemons; no I/O."""
 
 import logging
 from collections.abc import Sequence
@@ -13,21 +13,21 @@
 
 
 class EvacuationController:
-    """Whichever source is newer holds, by the version of the store that it speaks of."""
+    """Merges the evacuations from both sources; the one with the newer store version wins."""
 
     def __init__(self, reader: EvacuationReader) -> None:
-        """Know of no evacuation."""
+        """Create a controller without evacuations."""
         self._reader = reader
         self._current = Evacuations()
         self._unreadable: set[RowKey] = set()
-        """Rows that were logged."""
+        """Rows that have been logged as unreadable."""
 
     def read(self) -> Evacuations:
         """Return the evacuations in force."""
         return self._current
 
     def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
-        """Take every row of the operators' table as of a version of the store."""
+        """Replace the evacuations by those in all rows of a store version."""
         if version < self._current.version:
             return
         named = (self._decode(row.key) for row in rows)
@@ -36,20 +36,20 @@
             self._current = Evacuations(version, data_centres)
 
     def take_changes(self, rows: Sequence[StoredRow]) -> None:
-        """Take rows that changed, in order."""
+        """Apply changed rows, in order."""
         for row in rows:
             name = self._decode(row.key)
-            # Another daemon's word may have brought more than this feed has by now.
+            # The state received from another daemon may be newer than this feed.
             if name is None or row.version <= self._current.version:
                 continue
             before = self._current.data_centres
             after = before - {name} if row.deleted else before | {name}
             self._current = Evacuations(row.version, after)
 
-    def take_word(self, told: Evacuations) -> None:
-        """Take what another daemon knows."""
-        if told.version > self._current.version:
-            self._current = told
+    def apply_peer_state(self, reported: Evacuations) -> None:
+        """Apply the evacuations that another daemon reports, if they are newer."""
+        if reported.version > self._current.version:
+            self._current = reported
 
     def _decode(self, key: RowKey) -> str | None:
         if not self._reader.is_evacuation(key):
--- a/goldcreststair/components/evacuation/errors.py
+++ b/goldcreststair/components/evacuation/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with an operator's row about an evacuation."""
+"""Errors of evacuation rows."""
 
 from dataclasses import dataclass
 
@@ -7,6 +7,6 @@
 
 @dataclass(frozen=True, slots=True)
 class EvacuationUnreadable(GoldcreststairError):
-    """A row that names no data centre; names the field."""
+    """An evacuation row does not name a data centre; `field` is the invalid field."""
 
     field: str = ""
--- a/goldcreststair/components/evacuation/models.py
+++ b/goldcreststair/components/evacuation/models.py
@@ -1,4 +1,4 @@
-"""Which data centres are evacuated."""
+"""Evacuated data centres."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -8,12 +8,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Evacuations:
-    """All evacuations as of one version of the store."""
+    """All evacuations at one version of the store."""
 
     version: int = 0
-    """When `data_centres` came to hold; 0 before the first evacuation."""
+    """Store version of the last change of `data_centres`; 0 before the first evacuation."""
     data_centres: frozenset[str] = frozenset()
-    """Their upstreams get no new work; what runs there goes on."""
+    """Their upstreams get no new work; runs in progress continue."""
 
 
 EVACUATIONS: Final = SectionKey[Evacuations]("evacuations")
--- a/goldcreststair/components/evacuation/protocols.py
+++ b/goldcreststair/components/evacuation/protocols.py
@@ -1,4 +1,4 @@
-"""What evacuations ask of an adapter."""
+"""Interface of the adapter that decodes evacuation rows."""
 
 from typing import Protocol
 
@@ -9,10 +9,10 @@
 
 
 class EvacuationReader(Protocol):
-    """Knows how operators name a data centre that they evacuate."""
+    """Decodes the rows by which operators evacuate a data centre."""
 
     def is_evacuation(self, key: RowKey) -> bool:
         """Return whether a row of the operators' table is about an evacuation."""
 
     def decode(self, key: RowKey) -> Result[str, EvacuationUnreadable]:
-        """Return the name of the data centre; the row's existence is the evacuation."""
+        """Return the name of the data centre, which is evacuated as long as the row exists."""
--- a/goldcreststair/components/evacuation/service.py
+++ b/goldcreststair/components/evacuation/service.py
@@ -1,4 +1,4 @@
-"""Connects evacuations to the operators' rows and to other daemons."""
+"""Follows evacuations in the operators' rows and in the beacons of other daemons."""
 
 import logging
 from collections.abc import Sequence
@@ -17,32 +17,33 @@
 
 
 class EvacuationService:
-    """Writes the section of evacuations; implements `RowListener`."""
+    """Publishes the evacuations on the blackboard; implements `RowListener`."""
 
     def __init__(self, core: GatewayCore) -> None:
-        """Know of no evacuation."""
+        """Create the service and register for rows and beacons."""
         self._controller = EvacuationController(core.adapter.evacuation_reader)
         self._section = core.blackboard.open_section(EVACUATIONS, Evacuations())
         self._published = Evacuations()
         self._links = core.get(FLEET_LINKS)
         self._links.contribute(self._contribute)
-        # A VM that the store turns away, or that starts meanwhile, has only the word of others.
+        # A VM that the store refuses, or that starts during an outage, only has the reports of
+        # others.
         self._links.watch(self._on_beacon, lambda _: None)
         core.get(OPERATOR_ROWS).add_listener(self)
 
     async def async_start(self) -> None:
-        """Do nothing; rows and beacons come by themselves."""
+        """Do nothing; rows and beacons arrive through the registered listeners."""
 
     async def async_close(self) -> None:
         """Do nothing."""
 
     def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
-        """Take every row of the operators' table."""
+        """Replace the evacuations by those in all rows of the operators' table."""
         self._controller.take_all(rows, version)
         self._publish(SOURCE_STORE)
 
     def take_changes(self, rows: Sequence[StoredRow]) -> None:
-        """Take rows that changed."""
+        """Apply changed rows."""
         self._controller.take_changes(rows)
         self._publish(SOURCE_STORE)
 
@@ -55,8 +56,8 @@
     def _on_beacon(self, session: str, beacon: Beacon) -> None:
         if beacon.evacuation_version is None:
             return
-        told = Evacuations(beacon.evacuation_version, frozenset(beacon.evacuated or ()))
-        self._controller.take_word(told)
+        reported = Evacuations(beacon.evacuation_version, frozenset(beacon.evacuated or ()))
+        self._controller.apply_peer_state(reported)
         self._publish(f"daemon {session}")
 
     def _publish(self, source: str) -> None:
@@ -68,6 +69,6 @@
         for name in sorted(after.data_centres - before.data_centres):
             _LOGGER.info("Data centre evacuated", extra=extra | {"data_centre": name})
         for name in sorted(before.data_centres - after.data_centres):
-            _LOGGER.info("Evacuation taken back", extra=extra | {"data_centre": name})
+            _LOGGER.info("Data centre no longer evacuated", extra=extra | {"data_centre": name})
         self._section.write(after)
         self._links.announce()
--- a/tests/components/evacuation/test_controller.py
+++ b/tests/components/evacuation/test_controller.py
@@ -1,4 +1,4 @@
-"""Which source of evacuations holds."""
+"""Precedence between the sources of evacuations."""
 
 import logging
 
@@ -20,18 +20,18 @@
 
 @pytest.fixture
 def controller() -> EvacuationController:
-    """Return a controller that knows of one evacuation."""
+    """Return a controller with one evacuation."""
     controller = EvacuationController(PlainEvacuationReader())
     controller.take_all([OTHER, make_row("dc1", 10)], 12)
     return controller
 
 
-def test_rows_about_other_matters_are_passed_over(controller: EvacuationController) -> None:
+def test_unrelated_rows_are_ignored(controller: EvacuationController) -> None:
     assert controller.read() == Evacuations(12, frozenset({"dc1"}))
 
 
 @pytest.mark.parametrize(
-    ("change", "left"),
+    ("change", "expected"),
     [
         (make_row("dc2", 13), {"dc1", "dc2"}),
         (make_row("dc1", 13, deleted=True), set()),
@@ -39,34 +39,34 @@
         (make_row("dc1", 11, deleted=True), {"dc1"}),
     ],
 )
-def test_only_newer_changes_count(
-    controller: EvacuationController, change: StoredRow, left: set[str]
+def test_only_newer_changes_are_applied(
+    controller: EvacuationController, change: StoredRow, expected: set[str]
 ) -> None:
-    """Guards against a feed that replays what another daemon's word has overtaken."""
+    """Guards against a feed that replays rows older than the state reported by another daemon."""
     controller.take_changes([change])
-    assert controller.read().data_centres == left
+    assert controller.read().data_centres == expected
 
 
-@pytest.mark.parametrize(("version", "left"), [(20, {"dc3"}), (12, {"dc1"}), (5, {"dc1"})])
-def test_another_daemons_word_counts_if_it_is_newer(
-    controller: EvacuationController, version: int, left: set[str]
+@pytest.mark.parametrize(("version", "expected"), [(20, {"dc3"}), (12, {"dc1"}), (5, {"dc1"})])
+def test_state_of_another_daemon_is_applied_if_newer(
+    controller: EvacuationController, version: int, expected: set[str]
 ) -> None:
-    controller.take_word(Evacuations(version, frozenset({"dc3"})))
-    assert controller.read().data_centres == left
+    controller.apply_peer_state(Evacuations(version, frozenset({"dc3"})))
+    assert controller.read().data_centres == expected
 
 
-def test_a_whole_read_ends_an_evacuation_whose_end_was_missed(
+def test_full_read_ends_evacuations_whose_end_was_missed(
     controller: EvacuationController,
 ) -> None:
-    """Guards against a data centre that stays shut after the store has lost its history."""
+    """Guards against a data centre that stays evacuated after the store has lost its history."""
     controller.take_all([OTHER], 30)
     assert controller.read() == Evacuations(30, frozenset())
 
 
-def test_a_row_without_a_name_shuts_nothing_and_is_logged_once(
+def test_row_without_a_name_is_ignored_and_logged_once(
     controller: EvacuationController, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Guards against a malformed row that ends the evacuations in force or fills the log."""
+    """Guards against a malformed row that ends active evacuations or floods the log."""
     with caplog.at_level(logging.WARNING):
         for version in (13, 14):
             controller.take_changes([make_row("", version)])
--- a/tests/components/evacuation/test_fleet.py
+++ b/tests/components/evacuation/test_fleet.py
@@ -1,4 +1,4 @@
-"""Evacuations over a whole fleet: what upstreams of a data centre still get."""
+"""Evacuations across a fleet: work that reaches the upstreams of an evacuated data centre."""
 
 import asyncio
 
@@ -13,11 +13,11 @@
 
 DATA_CENTRE = "dc1"
 KNOWN_MS = 1_000
-"""By when an evacuation must be known to every daemon that hears the store or others."""
+"""Time until every daemon that reaches the store or other daemons must know of an evacuation."""
 
 
 async def async_start(fleet: GatewayFleet, vms: int = 4) -> list[RunEngine]:
-    """Start daemons and three engines, one in each data centre."""
+    """Start daemons, and three engines in one data centre each."""
     engines = fleet.add_engines(3)
     await fleet.async_add_many(vms)
     await fleet.clock.async_sleep(1_500)
@@ -25,7 +25,7 @@
 
 
 async def async_load(fleet: GatewayFleet, members: list[FleetMember], times: int = 6) -> None:
-    """Send requests of each kind to each of some daemons, more than the other engines' slots."""
+    """Send requests of every kind to these daemons, more than the slots of the other engines."""
     paths = ("/stream/1", "/once/1", "/call/1", "/book/1")
     sent = [
         async_send(fleet, each, path) for each in members for path in paths for _ in range(times)
@@ -34,12 +34,12 @@
 
 
 def count_ran(engines: list[RunEngine]) -> int:
-    """Return how many runs the engines of the evacuated data centre have begun."""
+    """Return the number of runs begun by the engines of the evacuated data centre."""
     return sum(len(engine.ran) for engine in engines if engine.data_centre == DATA_CENTRE)
 
 
-def test_an_evacuated_data_centre_gets_no_new_work() -> None:
-    """Guards against requests that reach upstreams which operators are about to take away."""
+def test_evacuated_data_centre_gets_no_new_work() -> None:
+    """Guards against requests that reach upstreams which operators are about to shut down."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = await async_start(fleet)
@@ -54,26 +54,28 @@
     run_fleet(scenario)
 
 
-@pytest.mark.parametrize("how", ["turned away", "started turned away", "woken", "silent feeds"])
-def test_a_daemon_without_the_store_learns_of_an_evacuation(how: str) -> None:
-    """Guards against a VM that goes on sending to a shut data centre as it did not read the store."""
+@pytest.mark.parametrize(
+    "how", ["refused by store", "started while refused", "paused", "silent feeds"]
+)
+def test_daemon_without_the_store_learns_of_an_evacuation(how: str) -> None:
+    """Guards against a VM that cannot read the store and keeps using an evacuated data centre."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = await async_start(fleet)
         member = fleet.members[0]
         if how == "silent feeds":
-            # Connections that are open stay silent; those opened later work.
+            # Open connections stay silent; new ones work.
             fleet.store.faults.silent_feeds = True
             await fleet.clock.async_sleep(2_600)
             fleet.store.faults.silent_feeds = False
-        member.view.cut = how == "turned away"
+        member.view.cut = how == "refused by store"
         fleet.evacuate(DATA_CENTRE)
-        if how == "woken":
+        if how == "paused":
             loop = asyncio.get_running_loop()
             assert isinstance(loop, VirtualTimeLoop)
             loop.stand_still(5.0)
         await fleet.clock.async_sleep(KNOWN_MS if how != "silent feeds" else 4_500)
-        if how == "started turned away":
+        if how == "started while refused":
             member = await fleet.async_add()
             await fleet.clock.async_sleep(KNOWN_MS)
             member.view.cut = True
@@ -89,8 +91,8 @@
     run_fleet(scenario)
 
 
-def test_what_runs_in_an_evacuated_data_centre_goes_on() -> None:
-    """Guards against streams that are cut by an evacuation."""
+def test_runs_continue_in_an_evacuated_data_centre() -> None:
+    """Guards against streams that are aborted by an evacuation."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = await async_start(fleet, 1)
@@ -109,7 +111,7 @@
 
 @pytest.mark.parametrize("path", ["/stream/1", "/book/1"])
 def test_requests_are_refused_at_once_while_all_data_centres_are_evacuated(path: str) -> None:
-    """Guards against callers who wait for upstreams that may get nothing."""
+    """Guards against callers that wait for upstreams which may get no work."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = await async_start(fleet)
@@ -125,8 +127,8 @@
     run_fleet(scenario)
 
 
-def test_a_data_centre_is_used_again_once_it_is_taken_back() -> None:
-    """Guards against a data centre that stays shut for good."""
+def test_data_centre_is_used_again_after_its_evacuation() -> None:
+    """Guards against a data centre that is never used again."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = await async_start(fleet)
@@ -141,7 +143,7 @@
 
 
 @pytest.mark.parametrize("members", [4, 30])
-def test_an_evacuation_holds_while_all_vms_are_killed_in_a_burst(members: int) -> None:
+def test_evacuation_holds_while_all_vms_are_killed_in_a_burst(members: int) -> None:
     """Guards against daemons that start in a burst and send before they know of an evacuation."""
 
     async def scenario(fleet: GatewayFleet) -> None:
