--- a/goldcreststair/components/catalogue/__init__.py
+++ b/goldcreststair/components/catalogue/__init__.py
@@ -1,4 +1,4 @@
-"""The routes, services and customers in force."""
+"""The catalogue of routes, services and customers."""
 
 from goldcreststair.components.catalogue.protocols import CATALOGUE_FOLLOWER
 from goldcreststair.components.catalogue.service import CatalogueService
@@ -7,7 +7,7 @@
 
 
 async def async_setup(core: GatewayCore) -> Component:
-    """Set up the follower."""
+    """Set up the catalogue component."""
     service = CatalogueService(core)
     core.offer(CATALOGUE_FOLLOWER, service)
     return service
--- a/goldcreststair/components/catalogue/controller.py
+++ b/goldcreststair/components/catalogue/controller.py
@@ -1,4 +1,4 @@
-"""Which version of the catalogue is in force; no I/O."""
+"""Keeps the version of the catalogue in force; no I/O."""
 
 import logging
 
@@ -12,10 +12,10 @@
 
 
 class CatalogueController:
-    """Puts newer versions in force, from wherever they come."""
+    """Applies newer versions of the catalogue, whatever their source."""
 
     def __init__(self, reader: CatalogueReader, section: SectionWriter[Catalogue]) -> None:
-        """Start with no version."""
+        """Create a controller without a version."""
         self._reader = reader
         self._section = section
         self._version = 0
@@ -26,9 +26,10 @@
         return self._version, self._document
 
     def apply_document(self, document: bytes, source: str) -> bool:
-        """Put a document in force if it is newer; returns whether it was."""
+        """Apply a document if it is newer; returns whether it was applied."""
         if document == self._document:
-            # Each whole read of the table brings it again: 1,400 routes take some 20 ms to decode.
+            # Each full read of the table returns it again, and decoding 1,400 routes takes about 20
+            # ms.
             return False
         decoded = self._reader.decode(document)
         if isinstance(decoded, Err):
@@ -37,8 +38,8 @@
             _LOGGER.error("Catalogue unreadable: %s", error.message, extra=extra)
             return False
         catalogue = decoded.ok_value
-        # Feeds, whole reads and peers deliver in any order. An older version in force again would
-        # let a withdrawn key back in and send requests to services that a route has left.
+        # Feeds, full reads and peers deliver versions in any order. Applying an older version would
+        # accept a withdrawn key again and send requests to services that a route no longer uses.
         if catalogue.version <= self._version:
             return False
         _LOGGER.info(
--- a/goldcreststair/components/catalogue/models.py
+++ b/goldcreststair/components/catalogue/models.py
@@ -1,4 +1,4 @@
-"""One version of what operators decide: routes, services, customers and their keys."""
+"""A version of the catalogue: routes, services, customers and their keys, as set by operators."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 
 class CallKind(StrEnum):
-    """What may be done with the requests of a route."""
+    """How the requests of a route may be run."""
 
     IDEMPOTENT = "idempotent"
     """May run more than once."""
@@ -18,7 +18,7 @@
     STREAMING = "streaming"
     """Answers with a series of events; runs at most once unless the route can be resumed."""
     BATCH = "batch"
-    """Takes jobs of many requests that run later."""
+    """Accepts jobs of many requests that run later."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,19 +31,19 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchTerms:
-    """What holds for the jobs of a batch route."""
+    """Deadlines and limits of the jobs of a batch route."""
 
     due_ms: int
-    """All results are due so long after a job was first sent."""
+    """Time from the first submission of a job until all its results are due."""
     max_wait_ms: int
-    """An item may be given up so long after its job was first sent."""
+    """Time from the first submission of a job after which its items may be given up."""
     max_waiting_tokens: int
-    """Tokens of one customer's unfinished items, over all VMs; 0 for no limit."""
+    """Maximum tokens of one customer's unfinished items, over all VMs; 0 for no limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where the requests of one host and path prefix go, and on which terms."""
+    """The services, timeouts and limits for the requests of one host and path prefix."""
 
     name: str
     host: str
@@ -52,19 +52,19 @@
     kind: CallKind
     services: tuple[WeightedService, ...]
     timeout_ms: int
-    """A caller is kept waiting no longer than this."""
+    """Longest time that a caller is kept waiting."""
     objective_ms: int
-    """Time to the answer, or to a stream's first event, that callers count as good."""
+    """Objective for the time to the answer, or to the first event of a stream."""
     max_attempts: int
-    """Upstreams to which one request may be sent."""
+    """Maximum number of upstreams to which one request may be sent."""
     resumable: bool = False
-    """Whether a stream may go on at another upstream after its last event."""
+    """Whether a stream may be resumed at another upstream after its last event."""
     anonymous: bool = False
     """Whether requests need no key."""
     gap_objective_ms: int = 0
-    """Longest pause between two events that callers count as good; 0 if none is set."""
+    """Objective for the longest pause between two events; 0 if none is set."""
     affinity: bool = False
-    """Whether requests share parts of prompts that upstreams cache."""
+    """Whether requests share prompt prefixes that upstreams cache."""
     priority: int = 0
     """0 is the most urgent."""
     batch: BatchTerms | None = None
@@ -81,39 +81,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A group of upstreams that run the same requests."""
+    """A group of upstreams that serve the same requests."""
 
     name: str
     max_connections: int
-    """Connections that one of its upstreams accepts, from all callers together."""
+    """Connections that one upstream accepts from all callers together."""
     slots: int = 0
-    """Requests that one of its upstreams runs at once; 0 if unknown."""
+    """Requests that one upstream runs concurrently; 0 if unknown."""
     kv_tokens: int = 0
-    """Tokens that one of its upstreams keeps in memory; 0 if unknown."""
+    """Tokens that the KV cache of one upstream holds; 0 if unknown."""
     cold_per_s: float = 0.0
-    """Requests a second that one of its upstreams bears while it is cold; 0 for no bound."""
+    """Requests per second that one upstream tolerates while it is cold; 0 for no limit."""
     cold_start_ms: int = 0
-    """How long one of its upstreams is cold after its start."""
+    """How long an upstream is cold after its start."""
 
 
 @dataclass(frozen=True, slots=True)
 class CatalogueCustomer:
-    """One customer and its quota over the whole fleet."""
+    """A customer and its quota across the whole fleet."""
 
     name: str
     rate_per_s: float = 0.0
-    """Requests a second; 0 for no limit."""
+    """Requests per second; 0 for no limit."""
     burst: float = 0.0
-    """Requests that may come at once on top of the rate."""
+    """Requests that may arrive at once on top of the rate."""
     priority: int | None = None
-    """Goes before the priority of a route; None if the customer has none."""
+    """Overrides the priority of the route; None if the customer has none."""
     regions: frozenset[str] = frozenset()
     """Where its requests may be handled; empty for everywhere."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take."""
+    """Limits on the size and duration of a caller's request."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 4 * 1024 * 1024
@@ -123,26 +123,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Catalogue:
-    """One version, complete."""
+    """One complete version of the catalogue."""
 
     version: int = 0
-    """0 stands for none seen yet."""
+    """0 if no version has been received."""
     routes: tuple[Route, ...] = ()
     services: Mapping[str, Service] = field(default_factory=dict)
     customers: Mapping[str, CatalogueCustomer] = field(default_factory=dict)
     keys: Mapping[str, str] = field(default_factory=dict)
-    """SHA-256 of each key in force, in hex, to its customer's name."""
+    """Name of the customer by SHA-256 of each valid key, in hex."""
     limits: CallerLimits = field(default_factory=CallerLimits)
     by_host: Mapping[str, Mapping[str, Route]] = field(default_factory=dict)
-    """Host in lower case to its routes by prefix."""
+    """Routes by lower-case host, then by prefix."""
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route with the longest prefix of the path, or None."""
         routes = self.by_host.get(host.lower())
         if not routes:
             return None
         end = len(path)
-        # One look-up for each slash of the path: a host may have thousands of routes.
+        # One lookup per slash in the path: a host may have thousands of routes.
         while (end := path.rfind("/", 0, end)) >= 0:
             route = routes.get(path[: end + 1])
             if route is not None:
--- a/goldcreststair/components/catalogue/protocols.py
+++ b/goldcreststair/components/catalogue/protocols.py
@@ -1,4 +1,4 @@
-"""What the catalogue asks of an adapter, and offers to others."""
+"""Interfaces of the adapter that decodes the catalogue, and of the catalogue component."""
 
 from dataclasses import dataclass
 from typing import Final, Protocol
@@ -13,29 +13,29 @@
 
 @dataclass(frozen=True, slots=True)
 class CatalogueUnreadable(GoldcreststairError):
-    """A document that is no catalogue; names the field."""
+    """A document is not a valid catalogue; `field` is the invalid field."""
 
     field: str = ""
 
 
 class CatalogueReader(Protocol):
-    """Knows where operators write the catalogue and how."""
+    """Decodes the catalogue that operators write."""
 
     row: RowKey
     """The row that holds the newest version."""
 
     def decode(self, document: bytes) -> Result[Catalogue, CatalogueUnreadable]:
-        """Return a version, complete."""
+        """Return the complete version in a document."""
 
 
 class CatalogueFollower(Protocol):
-    """Holds the document in force, so that other daemons can be given it."""
+    """Provides the document in force, so that it can be passed to other daemons."""
 
     def read_document(self) -> tuple[int, bytes]:
         """Return the version in force and its document."""
 
     def apply_document(self, document: bytes, source: str) -> bool:
-        """Put a document in force if it is newer; returns whether it was."""
+        """Apply a document if it is newer; returns whether it was applied."""
 
 
 CATALOGUE_FOLLOWER: Final = ComponentKey[CatalogueFollower]("catalogue")
--- a/goldcreststair/components/catalogue/regions.py
+++ b/goldcreststair/components/catalogue/regions.py
@@ -1,15 +1,15 @@
-"""In which regions requests may be handled; no I/O."""
+"""Finds the regions in which requests may be handled; no I/O."""
 
 from collections.abc import Iterable, Mapping
 
 from goldcreststair.components.catalogue.models import Catalogue, CatalogueCustomer, Route
 
 Regions = frozenset[str] | None
-"""Names of the regions that are allowed; None for all."""
+"""Names of the allowed regions; None for all."""
 
 
-def combine_regions(named: Iterable[frozenset[str]]) -> Regions:
-    """Return what all of these allow; an empty one names no region and allows all.
+def combine_regions(restrictions: Iterable[frozenset[str]]) -> Regions:
+    """Return the regions that are in all of these sets; an empty set allows all regions.
 
     >>> sorted(combine_regions([frozenset({"a", "b"}), frozenset()]) or ())
     ['a', 'b']
@@ -17,7 +17,7 @@
     (frozenset(), None)
     """
     allowed: Regions = None
-    for regions in named:
+    for regions in restrictions:
         if regions:
             allowed = regions if allowed is None else allowed & regions
     return allowed
@@ -29,10 +29,10 @@
 
 
 def find_job_regions(catalogue: Catalogue, customer: str, route: str) -> Regions:
-    """Return the same for the jobs of a customer on a route, by their names."""
+    """Return the regions in which the jobs of a customer on a route may be handled."""
     known = catalogue.customers.get(customer)
-    named = [found.regions for found in catalogue.routes if found.name == route]
-    return combine_regions([*named, known.regions if known else frozenset()])
+    restrictions = [found.regions for found in catalogue.routes if found.name == route]
+    return combine_regions([*restrictions, known.regions if known else frozenset()])
 
 
 def find_host_regions(catalogue: Catalogue, host: str) -> Regions:
--- a/goldcreststair/components/catalogue/service.py
+++ b/goldcreststair/components/catalogue/service.py
@@ -1,4 +1,4 @@
-"""Follows the catalogue's row, and peers where the store does not answer."""
+"""Follows the catalogue in the store, and fetches it from peers if the store does not answer."""
 
 import asyncio
 import logging
@@ -29,7 +29,7 @@
     """Implements `CatalogueFollower`."""
 
     def __init__(self, core: GatewayCore) -> None:
-        """Start with no version in force."""
+        """Create the service and register for rows and beacons."""
         self._core = core
         reader = core.adapter.catalogue_reader
         section = core.blackboard.open_section(CATALOGUE, Catalogue())
@@ -39,36 +39,36 @@
         self._links.contribute(self._contribute)
         self._links.watch(self._on_beacon, lambda _: None)
         core.get(OPERATOR_ROWS).add_listener(self)
-        self._fetching: asyncio.Task[None] | None = None
+        self._fetch_task: asyncio.Task[None] | None = None
         self._fetched_at = Millis(-FETCH_RETRY_MS)
 
     async def async_start(self) -> None:
-        """Serve peers."""
+        """Start to answer peers that ask for the catalogue."""
         self._links.on_ask(AskKind.CATALOGUE, self._async_answer)
 
     async def async_close(self) -> None:
-        """Stop."""
-        if self._fetching is not None:
-            self._fetching.cancel()
-            await asyncio.gather(self._fetching, return_exceptions=True)
+        """Cancel a fetch in progress."""
+        if self._fetch_task is not None:
+            self._fetch_task.cancel()
+            await asyncio.gather(self._fetch_task, return_exceptions=True)
 
     def read_document(self) -> tuple[int, bytes]:
         """Return the version in force and its document."""
         return self._controller.read_document()
 
     def apply_document(self, document: bytes, source: str) -> bool:
-        """Put a document in force if it is newer; returns whether it was."""
-        taken = self._controller.apply_document(document, source)
-        if taken:
+        """Apply a document if it is newer; returns whether it was applied."""
+        applied = self._controller.apply_document(document, source)
+        if applied:
             self._links.announce()
-        return taken
+        return applied
 
     def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
-        """Take the newest version from the store's table."""
+        """Apply the version in all rows of the operators' table."""
         self.take_changes(rows)
 
     def take_changes(self, rows: Sequence[StoredRow]) -> None:
-        """Take versions as the store brings them."""
+        """Apply versions from changed rows."""
         for row in rows:
             if row.key == self._row and not row.deleted:
                 self.apply_document(row.value, "store")
@@ -79,39 +79,41 @@
     def _on_beacon(self, _: str, beacon: Beacon) -> None:
         version = self._controller.read_document()[0]
         now = self._core.clock.now()
-        idle = self._fetching is None or self._fetching.done()
+        idle = self._fetch_task is None or self._fetch_task.done()
         if beacon.catalogue_version > version and idle and now >= self._fetched_at + FETCH_RETRY_MS:
             self._fetched_at = now
-            self._fetching = asyncio.create_task(self._async_fetch(beacon.session, version))
+            self._fetch_task = asyncio.create_task(self._async_fetch(beacon.session, version))
 
     async def _async_fetch(self, session: str, version: int) -> None:
-        """Get a newer version from the store if it answers, else from the peer that has it."""
+        """Fetch a newer version from the store, or from the peer that has it if the store fails."""
         await self._core.clock.async_sleep(STORE_FIRST_MS)
         if self._controller.read_document()[0] > version:
             return
-        # A feed that went silent looks the same as a store that turns this VM away: one read on
-        # a new connection tells them apart, and brings the version where the store answers.
+        # A silent feed cannot be distinguished from a store that refuses this VM. A read on a new
+        # connection shows which it is, and returns the version if the store answers.
         read = await self._core.adapter.store.async_read(RowRange(self._row.table))
         if not isinstance(read, Err):
             self.take_changes(read.ok_value.rows)
         if self._controller.read_document()[0] > version:
             return
-        document = await self._async_ask(session, version)
+        document = await self._async_request_document(session, version)
         if document:
             self.apply_document(document, f"daemon {session}")
 
-    async def _async_ask(self, session: str, version: int) -> bytes:
-        question = encode_struct(CatalogueAsk(version))
-        asked = await self._links.async_ask(session, AskKind.CATALOGUE, question, FETCH_TIMEOUT_MS)
-        if isinstance(asked, Err):
-            _LOGGER.warning("No catalogue from a peer: %s", asked.err_value.message)
+    async def _async_request_document(self, session: str, version: int) -> bytes:
+        request = encode_struct(CatalogueAsk(version))
+        reply = await self._links.async_ask(session, AskKind.CATALOGUE, request, FETCH_TIMEOUT_MS)
+        if isinstance(reply, Err):
+            _LOGGER.warning(
+                "Fetching the catalogue from a peer failed: %s", reply.err_value.message
+            )
             return b""
-        answer = decode_struct(CatalogueDocument, asked.ok_value)
+        answer = decode_struct(CatalogueDocument, reply.ok_value)
         return b"" if isinstance(answer, Err) else answer.ok_value.document
 
-    async def _async_answer(self, question: bytes) -> bytes:
-        asked = decode_struct(CatalogueAsk, question)
+    async def _async_answer(self, request: bytes) -> bytes:
+        decoded = decode_struct(CatalogueAsk, request)
         version, document = self._controller.read_document()
-        if isinstance(asked, Err) or version <= asked.ok_value.version:
+        if isinstance(decoded, Err) or version <= decoded.ok_value.version:
             document = b""
         return encode_struct(CatalogueDocument(version, document))
