--- a/goldcreststair/components/fleet/__init__.py
+++ b/goldcreststair/components/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Which gateway daemons live, and what they tell each other."""
+"""Tracks which gateway daemons are alive and carries the messages between them."""
 
 from goldcreststair.components.fleet.protocols import FLEET_LINKS
 from goldcreststair.components.fleet.service import FleetService
--- a/goldcreststair/components/fleet/changes.py
+++ b/goldcreststair/components/fleet/changes.py
@@ -1,4 +1,4 @@
-"""Lines of the log about daemons that come and go."""
+"""Logs daemons that join, leave or change their reachability."""
 
 import logging
 from collections.abc import Collection
@@ -9,11 +9,11 @@
 _LOGGER = logging.getLogger(__name__)
 
 MAX_CHANGE_LINES: Final = 4
-"""Daemons that are named when they come or go together."""
+"""Up to this many daemons that change together are logged one by one."""
 
 
 def log_changes(before: Fleet, after: Fleet) -> None:
-    """Write what differs between two pictures of the fleet."""
+    """Log the differences between two views of the fleet."""
     silent = [s for s in before.states.keys() - after.states.keys() if s in after.vms]
     heard = [s for s in after.states.keys() - before.states.keys() if s in before.vms]
     _log_daemons("Daemon known", after.vms.keys() - before.vms.keys(), after)
@@ -25,7 +25,9 @@
 def _log_daemons(
     event: str, sessions: Collection[str], fleet: Fleet, level: int = logging.INFO
 ) -> None:
-    """Write a line each; one line for all of them where they are many, as when a large fleet starts."""
+    """Log one line per daemon, or one line in total if there are many, as when a large fleet
+    starts.
+    """
     if len(sessions) > MAX_CHANGE_LINES:
         counts = {"daemons": len(sessions), "of": len(fleet.vms), "heard": fleet.reachable}
         _LOGGER.log(level, "%s, many at once", event, extra=counts)
--- a/goldcreststair/components/fleet/const.py
+++ b/goldcreststair/components/fleet/const.py
@@ -1,87 +1,104 @@
-"""Times of the fleet. Beacons are cheap and show life; the store settles who is gone."""
+"""Intervals and timeouts of the fleet.
+
+Beacons are cheap datagrams that show that a daemon is alive. Heartbeat rows in the store decide
+whether a silent daemon is gone.
+"""
 
 from typing import Final
 
 BEACON_INTERVAL_MS: Final = 250
-"""A daemon is heard at least so often; four lost datagrams in a row pass unnoticed."""
+"""Longest time between two beacons of a daemon; it stays responsive when four datagrams in a row
+are lost."""
 BEACON_MIN_GAP_MS: Final = 20
-"""Changes within this time share a beacon: at 80 requests a second over 11 VMs two arrive in it."""
-MESH_DAEMONS: Final = 24
-"""Up to so many others each daemon tells every other; beyond, relays sum up a data centre each."""
+"""Changes within this time share a beacon; at 80 requests/s over 11 VMs, two changes arrive in
+it."""
+MAX_MESH_PEERS: Final = 24
+"""Up to this many other daemons, every daemon sends its beacons to every other one. In a larger
+fleet, relays aggregate each data centre."""
 RELAYED_MIN_GAP_MS: Final = 50
-"""The same as `BEACON_MIN_GAP_MS` where relays sum up: half of what a digest is old anyway."""
+"""Replaces `BEACON_MIN_GAP_MS` where relays are used: half the age that a digest has anyway."""
 RELAYED_TICK_MS: Final = 150
-"""The same as `TICK_MS` there: each look goes through hundreds of daemons."""
+"""Replaces `TICK_MS` where relays are used: each tick iterates over hundreds of daemons."""
 STANDBY_GAP_MS: Final = 200
-"""How often the second relay is told: it follows the load closely enough to take over."""
+"""Interval of beacons to the second relay; its load view stays recent enough to take over."""
 DIGEST_GAP_MS: Final = 100
-"""Pause between two digests: an upstream of eight slots begins one or two requests meanwhile."""
+"""Pause between two digests; an upstream of eight slots begins one or two requests in it."""
 DIGEST_IDLE_MS: Final = 200
-"""The same while nothing changes."""
-HEARD_RESENT_MS: Final = 500
-"""How often a digest lists whom its relay hears, beside at each change."""
-COUNTS_RESENT_MS: Final = 1_000
-"""A counter that changed is told for so long: it outlasts nine lost digests."""
-FOLLOWED_MS: Final = 1_200
-"""A relay sends digests for so long after a daemon asked for them."""
-MEMBER_HEARD_MS: Final = 900
-"""A relay takes a daemon of its data centre for heard so long after a beacon, three of them lost."""
-REMOTE_HEARD_MS: Final = 1_200
-"""The word of another data centre's relay counts for so long: another one has taken over by then."""
-REMOTE_QUIET_MS: Final = 450
-"""Without a word for so long, a data centre's daemons keep their part of each quota: both sides of a cut
-spend the whole until it shows. Two digests are lost now and then; three seldom are."""
-RELAY_SILENT_MS: Final = 450
-"""A relay without a digest for so long is left for the next one: two are lost, or it stands still."""
-RELAY_ANSWER_MS: Final = 300
-"""A relay that was just turned to answers within a pause between digests; else the next one is tried."""
-RELAY_SHUNNED_MS: Final = 3_000
-"""It is not followed again for so long."""
-RELAY_SETTLED_MS: Final = 3_000
-"""A relay that ranks first is returned to once it has been heard for so long."""
+"""Pause between two digests while nothing changes."""
+REACHABLE_RESEND_MS: Final = 500
+"""How often a digest lists the reachable daemons even if they have not changed."""
+COUNTER_RESEND_MS: Final = 1_000
+"""A counter is repeated in digests for this long after it changed, so that nine digests in a row
+may be lost."""
+FOLLOWER_TIMEOUT_MS: Final = 1_200
+"""A relay sends digests to a daemon for this long after the daemon last asked for them."""
+MEMBER_TIMEOUT_MS: Final = 900
+"""A relay counts a daemon of its data centre as reachable for this long after a beacon; three may
+be lost."""
+REMOTE_TIMEOUT_MS: Final = 1_200
+"""A digest from a relay of another data centre is valid for this long; by then another relay has
+taken over."""
+REMOTE_UNRESPONSIVE_MS: Final = 450
+"""After this time without a digest from a data centre, its share of each quota is left to its own
+daemons: until a network partition shows, both sides spend the whole quota. Two digests in a row are
+lost now and then, three seldom are."""
+RELAY_TIMEOUT_MS: Final = 450
+"""A relay that sent no digest for this long is replaced by the next one: two digests are lost, or
+its process is paused."""
+RELAY_FIRST_DIGEST_MS: Final = 300
+"""A newly chosen relay sends its first digest within one pause between digests; otherwise the next
+relay is tried."""
+RELAY_EXCLUSION_MS: Final = 3_000
+"""A relay that stopped answering is not chosen again for this long."""
+RELAY_SETTLE_MS: Final = 3_000
+"""The relay that ranks first is chosen again only after it has been known for this long."""
 UNREACHABLE_MS: Final = 1_200
-"""A daemon not heard for so long gets no callers: their first attempt would hang for a second."""
+"""A daemon without a beacon for this long is not offered to callers, as their first attempt would
+hang for a second."""
 RUNS_VALID_MS: Final = 1_500
-"""What a daemon said of its runs counts for so long; its streams end soon after it does."""
+"""The runs that a daemon reported are counted for this long; its streams end soon after it does."""
 
 HEARTBEAT_MS: Final = 1_000
-"""How often a daemon's heartbeat row is written, in a small fleet."""
+"""Interval between writes of a daemon's heartbeat row in a small fleet."""
 HEARTBEATS_PER_S: Final = 100
-"""Heartbeats of all daemons together, which beat less often in a large fleet."""
+"""Most heartbeat writes of all daemons together; in a large fleet each daemon writes less often."""
 HEARTBEAT_READ_MS: Final = 600
-"""How often heartbeats are read while a daemon is not heard."""
-FEED_PAUSE_MS: Final = 1
-"""For each daemon, how long changes of the list of daemons are gathered."""
-MAX_FEED_PAUSE_MS: Final = 500
+"""Interval between reads of the heartbeats while a daemon is unresponsive."""
+FEED_DELAY_PER_DAEMON_MS: Final = 1
+"""Changes of the session list are collected for this long, multiplied by the number of daemons."""
+MAX_FEED_DELAY_MS: Final = 500
 UNRESPONSIVE_MS: Final = 600
-"""A daemon not heard for so long has its heartbeat looked at, before callers must not get it, and its
-part of quotas is left to it: until then two daemons that lose each other both spend it."""
+"""A daemon without a beacon for this long has its heartbeat read, before it becomes unreachable to
+callers, and its share of quotas is left to it. Until then two daemons that lose contact with each
+other both spend that share."""
 ISOLATED_MS: Final = 1_500
-"""A daemon that hears neither store nor peers for so long takes no requests: its keys may be
-withdrawn by now, and the others will soon count its share of quotas as theirs."""
+"""A daemon that has contact with neither the store nor a peer for this long accepts no requests:
+its keys may have been withdrawn, and the other daemons will soon take over its share of quotas."""
 LOST_MS: Final = 2_000
-"""A daemon that is not heard and whose heartbeat stands still for so long admits nothing any more:
-longer than `ISOLATED_MS`, so that it has stopped by the time its share is used by others."""
-SETTLE_MS: Final = 400
-"""Daemons may differ so long in whom they hear: they notice a daemon that falls silent one after
-the other, within a beacon's interval, and tell each other with the next one."""
+"""A daemon that sends no beacon and whose heartbeat does not change for this long admits nothing
+any more. Longer than `ISOLATED_MS`, so that it has stopped before others use its share."""
+AGREEMENT_GRACE_MS: Final = 400
+"""Daemons may differ for this long in whom they can reach: they notice a silent daemon one after
+the other, within a beacon interval, and report it with their next beacon."""
 EXPIRE_MS: Final = 7_000
-"""Such a daemon is taken off the list after so long."""
-STAND_STILL_MS: Final = 600
-"""A tick so late means that the process stood still: far above the pauses of a busy VM."""
+"""The session of a silent daemon is removed from the store after this long."""
+PAUSE_THRESHOLD_MS: Final = 600
+"""A tick this late means that the process was paused; far above the pauses of a busy VM."""
 TICK_MS: Final = 100
 
 LEAVE_TIMEOUT_MS: Final = 400
-"""A leaving daemon waits no longer for the store: its grace ends with a kill."""
+"""How long a leaving daemon waits for the store; its process is killed at the end of its grace
+period."""
 
 SESSION_PARTS: Final = 4
-"""Parts of the store that sessions and heartbeats are spread over: each takes one transaction after the other, and
-all daemons of a fleet that starts write theirs at the same moment."""
+"""Number of store parts that sessions and heartbeats are spread over. A part runs one transaction
+at a time, and all daemons of a starting fleet write their sessions at the same moment."""
 TABLE_SESSIONS: Final = "vms"
 TABLE_HEARTBEATS: Final = "vm_heartbeats"
 FETCH_TIMEOUT_MS: Final = 1_000
-"""For one catalogue from a peer."""
+"""Timeout for fetching a catalogue from a peer."""
 FETCH_RETRY_MS: Final = 500
-"""Pause between two tries to get the same catalogue from peers."""
+"""Pause between two attempts to fetch the same catalogue from peers."""
 STORE_HEAD_START_MS: Final = 300
-"""The store has so long to bring a version that a peer already has, before the peer is asked."""
+"""How long a daemon waits for the store to deliver a version that a peer already has, before it
+asks the peer."""
--- a/goldcreststair/components/fleet/digests.py
+++ b/goldcreststair/components/fleet/digests.py
@@ -12,12 +12,12 @@
 
 from goldcreststair.clock import Clock, Millis
 from goldcreststair.components.fleet.const import (
-    COUNTS_RESENT_MS,
-    FOLLOWED_MS,
-    MEMBER_HEARD_MS,
-    RELAY_SILENT_MS,
-    REMOTE_HEARD_MS,
-    REMOTE_QUIET_MS,
+    COUNTER_RESEND_MS,
+    FOLLOWER_TIMEOUT_MS,
+    MEMBER_TIMEOUT_MS,
+    RELAY_TIMEOUT_MS,
+    REMOTE_TIMEOUT_MS,
+    REMOTE_UNRESPONSIVE_MS,
     UNRESPONSIVE_MS,
 )
 from goldcreststair.components.fleet.models import VmState
@@ -34,7 +34,7 @@
 
 MAX_REFUSED: Final = 32
 """Fingerprints in one digest, the newest."""
-MOST_NEW_MEMBER: Final = 3
+MAX_NEW_MEMBER_COUNT: Final = 3
 """Requests that a daemon admits of a customer between two beacons, at the most that is usual."""
 MAX_COUNT: Final = 1 << 62
 
@@ -57,7 +57,7 @@
         self._changed_at: dict[int, Millis] = {}
         self._sources: dict[str, _Source] = {}
 
-    def take(self, name: str, counts: Mapping[int, int], most_new: int) -> None:
+    def apply(self, name: str, counts: Mapping[int, int], max_new: int) -> None:
         """Take counters of a sender; those that it leaves out have not changed.
 
         One that it has not listed before counts for `most_new` at most: how much of it was counted
@@ -72,13 +72,13 @@
         source.at = now
         for key, count in counts.items():
             before = source.counts.get(key)
-            change = min(count, most_new) if before is None else count - before
+            change = min(count, max_new) if before is None else count - before
             source.counts[key] = count
             if known and change:
                 self.totals[key] = self.totals.get(key, 0) + change
                 self._changed_at[key] = now
 
-    def knows(self, name: str) -> bool:
+    def has_source(self, name: str) -> bool:
         """Return whether a sender was heard before."""
         return name in self._sources
 
@@ -112,7 +112,7 @@
 
 
 @dataclass(slots=True)
-class _Sum:
+class _DigestBuilder:
     """What is added up for one digest."""
 
     runs: dict[int, list[int]] = field(default_factory=dict)
@@ -128,7 +128,7 @@
     evacuation_version: int = 0
     evacuated: list[str] | None = None
 
-    def note_version(self, version: int, session: str) -> None:
+    def update_version(self, version: int, session: str) -> None:
         """Take which version of the catalogue a daemon has in force."""
         if version > self.version:
             self.version, self.newest_at = version, session
@@ -179,7 +179,7 @@
         )
 
 
-class DigestBook:
+class DigestTracker:
     """What a relay has heard from the daemons of its data centre, and from the other relays."""
 
     def __init__(self, clock: Clock, session: str, data_centre: str) -> None:
@@ -190,17 +190,17 @@
         self._members: dict[str, _Member] = {}
         self._remotes: dict[str, dict[str, _Remote]] = {}
         """By data centre, then by relay."""
-        self._group_counts = CounterSum(clock)
+        self._data_centre_counts = CounterSum(clock)
         self._fleet_counts = CounterSum(clock)
         self._sequence = 0
 
-    def take_member(self, session: str, beacon: Beacon) -> bool:
+    def apply_beacon(self, session: str, beacon: Beacon) -> bool:
         """Take a beacon of this data centre; returns whether who is heard has changed by it."""
         now = self._clock.now()
         member = self._members.get(session)
         changed = (
             member is None
-            or now - member.at > MEMBER_HEARD_MS
+            or now - member.at > MEMBER_TIMEOUT_MS
             or member.beacon.state != beacon.state
         )
         if member is None:
@@ -208,11 +208,11 @@
         member.beacon, member.at = beacon, now
         member.follows_at = now if beacon.follows else None
         counts = {count.customer: count.admitted for count in beacon.admitted or ()}
-        self._group_counts.take(session, counts, MOST_NEW_MEMBER)
-        self._fleet_counts.take(session, counts, MOST_NEW_MEMBER)
+        self._data_centre_counts.apply(session, counts, MAX_NEW_MEMBER_COUNT)
+        self._fleet_counts.apply(session, counts, MAX_NEW_MEMBER_COUNT)
         return changed
 
-    def take_remote(self, digest: Digest) -> bool:
+    def apply_digest(self, digest: Digest) -> bool:
         """Take what a relay says of another data centre; returns whether it hears others than before."""
         relays = self._remotes.setdefault(digest.data_centre, {})
         known = relays.get(digest.relay)
@@ -228,31 +228,31 @@
     def _count_remote(self, digest: Digest) -> None:
         name = f"{digest.data_centre} {digest.relay}"
         # Only a whole digest shows how far each counter was when this relay was first heard.
-        if digest.whole or self._fleet_counts.knows(name):
+        if digest.whole or self._fleet_counts.has_source(name):
             counts = {count.customer: count.admitted for count in digest.admitted or ()}
-            self._fleet_counts.take(name, counts, MAX_COUNT)
+            self._fleet_counts.apply(name, counts, MAX_COUNT)
 
     def forget(self, session: str) -> None:
         """Drop a daemon that is gone."""
         self._members.pop(session, None)
-        self._group_counts.forget(session)
+        self._data_centre_counts.forget(session)
         self._fleet_counts.forget(session)
         for data_centre, relays in self._remotes.items():
             if relays.pop(session, None) is not None:
                 self._fleet_counts.forget(f"{data_centre} {session}")
 
-    def list_quiet(self) -> frozenset[str]:
+    def list_unresponsive(self) -> frozenset[str]:
         """Return the data centres that have spoken, but not of late."""
         now = self._clock.now()
         return frozenset(
             data_centre
             for data_centre, relays in self._remotes.items()
-            if all(now - remote.at > REMOTE_QUIET_MS for remote in relays.values())
+            if all(now - remote.at > REMOTE_UNRESPONSIVE_MS for remote in relays.values())
         )
 
     def list_followers(self) -> dict[str, Beacon]:
         """Return the last beacons of those who take this daemon's digests, by session."""
-        horizon = self._clock.now() - FOLLOWED_MS
+        horizon = self._clock.now() - FOLLOWER_TIMEOUT_MS
         return {
             session: member.beacon
             for session, member in self._members.items()
@@ -264,67 +264,71 @@
         best = self._find_best(data_centre)
         return best.digest.relay if best is not None else ""
 
-    def make_group(self, lost_ms: Mapping[str, int], *, whole: bool) -> Digest:
+    def build_data_centre_digest(self, lost_ms: Mapping[str, int], *, whole: bool) -> Digest:
         """Return what the daemons of this data centre say together; `lost_ms` names those that are gone."""
         total = self._add_members(lost_ms)
-        return self._finish(total, self._data_centre, self._group_counts, whole=whole)
+        return self._finish(total, self._data_centre, self._data_centre_counts, whole=whole)
 
-    def make_fleet(self, lost_ms: Mapping[str, int], *, whole: bool) -> Digest:
+    def build_fleet_digest(self, lost_ms: Mapping[str, int], *, whole: bool) -> Digest:
         """Return what all daemons say together, as far as relays have told."""
         total = self._add_members(lost_ms)
         for data_centre in self._remotes:
             remote = self._find_best(data_centre)
             if remote is not None:
                 total.add(remote.digest)
-                total.note_version(remote.digest.catalogue_version, remote.digest.newest_at or "")
+                total.update_version(remote.digest.catalogue_version, remote.digest.newest_at or "")
                 total.batch.extend(remote.digest.batch or ())
-                quiet = self._clock.now() - remote.at > REMOTE_QUIET_MS
-                total.heard.extend(map(_mark_quiet, remote.heard) if quiet else remote.heard)
+                quiet = self._clock.now() - remote.at > REMOTE_UNRESPONSIVE_MS
+                total.heard.extend(map(_mark_unresponsive, remote.heard) if quiet else remote.heard)
         return self._finish(total, "", self._fleet_counts, whole=whole)
 
-    def _finish(self, total: _Sum, data_centre: str, counts: CounterSum, *, whole: bool) -> Digest:
+    def _finish(
+        self, total: _DigestBuilder, data_centre: str, counts: CounterSum, *, whole: bool
+    ) -> Digest:
         self._sequence += 1
         # Datagrams are lost now and then: a counter is told until it has stood still for a while.
-        listed = counts.totals if whole else counts.list_changed(COUNTS_RESENT_MS)
+        listed = counts.totals if whole else counts.list_changed(COUNTER_RESEND_MS)
         digest = total.make(self._session, self._sequence, data_centre, listed)
         if whole:
             digest.heard, digest.whole = total.heard, True
         return digest
 
-    def _add_members(self, lost_ms: Mapping[str, int]) -> _Sum:
-        total = _Sum()
+    def _add_members(self, lost_ms: Mapping[str, int]) -> _DigestBuilder:
+        total = _DigestBuilder()
         for session, silent_ms in lost_ms.items():
             lost = HeardDaemon(hash_name(session), VmState.STARTING, None, silent_ms)
             total.heard.append(lost)
-        for session, member in self._list_heard():
+        for session, member in self._list_seen():
             key, beacon = hash_name(session), member.beacon
             total.add(beacon)
-            total.note_version(beacon.catalogue_version, session)
+            total.update_version(beacon.catalogue_version, session)
             total.batch.extend(_list_batch(key, beacon.runs or ()))
             total.heard.append(HeardDaemon(key, beacon.state, beacon.store_away))
         return total
 
-    def _list_heard(self) -> list[tuple[str, _Member]]:
-        horizon = self._clock.now() - MEMBER_HEARD_MS
+    def _list_seen(self) -> list[tuple[str, _Member]]:
+        horizon = self._clock.now() - MEMBER_TIMEOUT_MS
         return [(s, member) for s, member in self._members.items() if member.at >= horizon]
 
     def _find_best(self, data_centre: str) -> _Remote | None:
         """Return the word of the relay that hears most daemons of a data centre, of those heard of late."""
         now = self._clock.now()
         fresh = [
-            r for r in self._remotes.get(data_centre, {}).values() if now - r.at <= REMOTE_HEARD_MS
+            r
+            for r in self._remotes.get(data_centre, {}).values()
+            if now - r.at <= REMOTE_TIMEOUT_MS
         ]
 
         def rank(remote: _Remote) -> tuple[bool, int, str]:
             # The last word of one that fell silent stands only until the next one has spoken: told
             # nothing until then, the next one would know its own data centre only.
-            speaks = now - remote.at <= RELAY_SILENT_MS
+            speaks = now - remote.at <= RELAY_TIMEOUT_MS
             return speaks, len(remote.heard), remote.digest.relay
 
         return max(fresh, key=rank, default=None)
 
 
-def _mark_quiet(heard: HeardDaemon) -> HeardDaemon:
+def _mark_unresponsive(heard: HeardDaemon) -> HeardDaemon:
     return HeardDaemon(heard.daemon, heard.state, heard.store_away, heard.lost_ms, True)
 
 
--- a/goldcreststair/components/fleet/models.py
+++ b/goldcreststair/components/fleet/models.py
@@ -1,4 +1,4 @@
-"""Daemons as others see them."""
+"""Data classes for daemons and the fleet."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -10,7 +10,7 @@
 
 
 class VmState(IntEnum):
-    """What a daemon says of itself; the numbers are sent."""
+    """State that a daemon reports about itself; the numbers go out on the wire."""
 
     STARTING = 0
     READY = 1
@@ -19,11 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetVm:
-    """One daemon's session."""
+    """Session of one daemon."""
 
     session: str
     address: str
-    """IP number."""
+    """IP address."""
     peer_port: int
     front_address: str
     """HOST:PORT for callers."""
@@ -33,31 +33,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """The daemons that count as alive, this one included."""
+    """Daemons that count as alive, this one included."""
 
     own_session: str = ""
     vms: Mapping[str, FleetVm] = field(default_factory=dict)
-    """By session; those that are silent but not yet known to be gone included."""
+    """By session; includes silent daemons that are not yet known to be gone."""
     states: Mapping[str, VmState] = field(default_factory=dict)
-    """By session, of those heard of late."""
+    """By session, of the reachable daemons."""
     lost: frozenset[str] = frozenset()
-    """Sessions that show no sign of life, in the store either: they admit nothing any more."""
+    """Sessions without beacons and without a changing heartbeat in the store; they admit nothing
+    any more."""
     responsive: int = 1
-    """How many daemons were heard just now, within a few beacons, this one included."""
+    """Number of daemons, this one included, whose last beacon is at most a few beacon intervals
+    old."""
     unlisted: int = 0
-    """Daemons heard whose session this daemon does not know: it cannot read the store's list."""
+    """Number of daemons that send beacons but whose session is unknown here, as this daemon cannot
+    read the session list from the store."""
     loaded: bool = False
-    """Whether the store's list of sessions has been read."""
+    """Whether the session list has been read from the store."""
     agreed: bool = True
-    """Whether the daemons heard just now say that they hear the same ones as this one does."""
+    """Whether the responsive daemons report the same set of responsive daemons as this one."""
 
     @property
     def reachable(self) -> int:
-        """How many daemons are heard, this one included."""
+        """Return the number of reachable daemons, this one included."""
         return len(self.states)
 
     def list_ready(self) -> list[FleetVm]:
-        """Return the daemons that may be given to callers."""
+        """Return the daemons that may be offered to callers."""
         return [vm for session, vm in self.vms.items() if self.states.get(session) is VmState.READY]
 
 
@@ -66,13 +69,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnState:
-    """What this daemon says of itself."""
+    """State that this daemon reports about itself."""
 
     state: VmState = VmState.STARTING
     stops_at: Millis | None = None
-    """When a leaving daemon ends what still runs."""
+    """When a leaving daemon aborts the runs that are left."""
     advertised_until: Millis | None = None
-    """Until when callers may hold an answer that names a leaving daemon."""
+    """Until when callers may hold an answer that lists a leaving daemon."""
 
 
 OWN_STATE: Final = SectionKey[OwnState]("own_state")
--- a/goldcreststair/components/fleet/peer_requests.py
+++ b/goldcreststair/components/fleet/peer_requests.py
@@ -1,4 +1,4 @@
-"""Questions that one daemon asks another over a connection of their own, rare ones only."""
+"""Requests from one daemon to another, each over its own connection; they are rare."""
 
 import asyncio
 import logging
@@ -18,13 +18,13 @@
 _LOGGER = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT_MS: Final = 300
-"""A daemon in the next data centre accepts within a few ms."""
+"""A daemon in the next data centre accepts a connection within a few ms."""
 SERVE_TIMEOUT_MS: Final = 5_000
-"""An asker that says nothing, or reads nothing, is let go after so long."""
+"""The connection of a requester that sends or reads nothing for this long is closed."""
 
 
 class PeerRequestKind(IntEnum):
-    """The first byte of a question."""
+    """First byte of a request."""
 
     CATALOGUE = 1
     JOB = 2
@@ -32,49 +32,49 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerRequestError(GoldcreststairError):
-    """A question without an answer."""
+    """A request failed or got no response."""
 
     not_sent: bool = False
-    """Whether the other daemon certainly did not get it."""
+    """Whether it is certain that the other daemon did not receive it."""
 
 
 PeerRequestHandler = Callable[[bytes], Awaitable[bytes]]
 
 
 class PeerRequests:
-    """Asks and answers."""
+    """Sends requests to other daemons and serves theirs."""
 
     def __init__(self, core: GatewayCore) -> None:
-        """Answer nothing yet."""
+        """Start without handlers and without a listening socket."""
         self._core = core
         self._handlers: dict[PeerRequestKind, PeerRequestHandler] = {}
         self._serving: set[asyncio.Task[None]] = set()
 
     async def async_start(self) -> None:
-        """Accept questions."""
+        """Listen for requests."""
         settings = self._core.settings
         await self._core.transport.async_listen(
             settings.address, settings.peer_port, self._on_accept
         )
 
     async def async_close(self) -> None:
-        """Stop."""
+        """Stop listening and cancel the requests being served."""
         await self._core.transport.async_close()
         for task in self._serving:
             task.cancel()
         await asyncio.gather(*self._serving, return_exceptions=True)
 
     def register_request_handler(self, kind: PeerRequestKind, handler: PeerRequestHandler) -> None:
-        """Answer the questions of one kind."""
+        """Register the handler for requests of one kind."""
         self._handlers[kind] = handler
 
     async def async_request(
-        self, session: str, kind: PeerRequestKind, question: bytes, timeout_ms: int
+        self, session: str, kind: PeerRequestKind, payload: bytes, timeout_ms: int
     ) -> Result[bytes, PeerRequestError]:
-        """Ask one daemon."""
+        """Send a request to one daemon and return the response."""
         vm = self._core.blackboard.read(FLEET).vms.get(session)
         if vm is None:
-            return Err(PeerRequestError(f"{session} is no daemon", not_sent=True))
+            return Err(PeerRequestError(f"session {session} is unknown", not_sent=True))
         opened = await self._core.transport.async_connect(
             vm.address, vm.peer_port, min(CONNECT_TIMEOUT_MS, timeout_ms)
         )
@@ -82,17 +82,17 @@
             return Err(PeerRequestError(opened.err_value.message, not_sent=True))
         channel = opened.ok_value
         try:
-            channel.send(bytes((kind,)) + question)
+            channel.send(bytes((kind,)) + payload)
             async with asyncio.timeout(timeout_ms / MS_PER_SECOND):
-                answer = await channel.async_receive()
+                response = await channel.async_receive()
         except TimeoutError:
-            return Err(PeerRequestError(f"{vm.address} is silent"))
+            return Err(PeerRequestError(f"no response from {vm.address} in {timeout_ms} ms"))
         finally:
             channel.close()
         return (
-            Ok(answer)
-            if answer is not None
-            else Err(PeerRequestError(f"{vm.address} gave no answer"))
+            Ok(response)
+            if response is not None
+            else Err(PeerRequestError(f"{vm.address} closed the connection without a response"))
         )
 
     def _on_accept(self, channel: PeerChannel) -> None:
@@ -108,11 +108,12 @@
                 if handler is None or not frame:
                     return
                 channel.send(await handler(frame[1:]))
-                # The asker closes once it has the answer; closing here could cut it.
+                # The requester closes once it has the response; closing here could cut the response
+                # off.
                 await channel.async_receive()
         except TimeoutError:
-            _LOGGER.info("A daemon that asked fell silent")
+            _LOGGER.info("Peer request aborted: the peer sent or read nothing in time")
         except ValueError:
-            _LOGGER.warning("A daemon asked what is not known here")
+            _LOGGER.warning("Peer request of an unknown kind")
         finally:
             channel.close()
--- a/goldcreststair/components/fleet/protocols.py
+++ b/goldcreststair/components/fleet/protocols.py
@@ -1,4 +1,4 @@
-"""What other components ask of the fleet."""
+"""Interface that the fleet offers to other components."""
 
 from collections.abc import Callable, Sequence
 from enum import IntEnum
@@ -18,16 +18,16 @@
 BeaconContributor = Callable[[Any], None]
 """Fills its fields of an outgoing `Beacon`."""
 BeaconListener = Callable[[str, Any], None]
-"""Takes the session and the `Beacon` of another daemon; in a large fleet, a relay's session and what all others
-say together, as one beacon."""
+"""Receives the session and the `Beacon` of another daemon. In a large fleet it receives a relay's
+session and one beacon that aggregates all other daemons."""
 BatchRunsListener = Callable[[Sequence[Any]], None]
-"""Takes the `BatchRuns` of all other daemons."""
+"""Receives the `BatchRuns` of all other daemons."""
 NoticeHandler = Callable[[str, bytes], None]
-"""Takes the session that sent a notice and its payload."""
+"""Receives the session that sent a notice, and its payload."""
 
 
 class DatagramKind(IntEnum):
-    """The first byte of each datagram."""
+    """First byte of each datagram."""
 
     BEACON = 1
     JOB_NOTICE = 2
@@ -36,76 +36,81 @@
 
 
 class FleetLinks(Protocol):
-    """Tells other daemons what this one knows, and the other way round."""
+    """Exchanges state and requests with the other daemons."""
 
     def add_beacon_contributor(self, add_beacon_contributor: BeaconContributor) -> None:
-        """Add to every beacon from now on."""
+        """Register a callback that adds fields to every beacon."""
 
     def subscribe_beacons(self, on_beacon: BeaconListener, on_gone: Callable[[str], None]) -> None:
-        """Be told of every beacon that is news, and of each daemon that is gone.
+        """Register callbacks for every new beacon and for each daemon that is gone.
 
-        A relay whose word is no longer taken counts as gone.
+        A relay that this daemon no longer follows counts as gone.
         """
 
     def subscribe_batch_runs(self, on_batch: BatchRunsListener) -> None:
-        """In a large fleet, be told which daemons have batch runs where."""
+        """Register a callback for the batch runs of other daemons; only called in a large fleet."""
 
     def has_mesh(self) -> bool:
-        """Return whether all daemons tell each other; else relays do, and all is known later."""
+        """Return whether every daemon sends beacons to every other one.
+
+        If not, relays aggregate the beacons and changes arrive later.
+        """
 
     def schedule_beacon(self) -> None:
-        """Send a beacon soon, as something changed that others act on."""
+        """Send a beacon soon, because something changed that other daemons act on."""
 
     def notify(self, session: str, kind: DatagramKind, payload: bytes) -> None:
         """Send one datagram, which may be lost."""
 
     def notify_by_hash(self, daemon: int, kind: DatagramKind, payload: bytes) -> None:
-        """Send one datagram to the daemon whose session has this hash."""
+        """Send one datagram to the daemon whose session has this hash; it may be lost."""
 
     def register_request_handler(self, kind: PeerRequestKind, handler: PeerRequestHandler) -> None:
-        """Answer the questions of one kind."""
+        """Register the handler for requests of one kind."""
 
     async def async_request(
-        self, session: str, kind: PeerRequestKind, question: bytes, timeout_ms: int
+        self, session: str, kind: PeerRequestKind, payload: bytes, timeout_ms: int
     ) -> Result[bytes, PeerRequestError]:
-        """Ask one daemon over a connection of its own."""
+        """Send a request to one daemon over a separate connection and return the response."""
 
     def list_with_store_access(self) -> list[str]:
-        """Return the other daemons that are heard and whose store answers."""
+        """Return the other ready daemons that are reachable and have contact with the store."""
 
     def register_notice_handler(self, kind: DatagramKind, handler: NoticeHandler) -> None:
-        """Handle the datagrams of one kind."""
+        """Register the handler for datagrams of one kind."""
 
     def is_isolated(self) -> bool:
-        """Return whether this daemon hears neither the store nor any other daemon."""
+        """Return whether this daemon has contact with neither the store nor another daemon."""
 
     def read_contact_age_ms(self) -> int:
-        """Return the ms since the store or another daemon was heard; 0 if there is no other."""
+        """Return the ms since the last contact with the store or another daemon; 0 if there is no
+        other.
+        """
 
     def read_all_seen_since(self) -> Millis:
-        """Return since when every daemon that counts as heard has been heard; now if there is none."""
+        """Return the time since which all responsive daemons have been seen; now if there is none."""
 
     def is_lost(self, session: str, after_ms: int) -> bool:
-        """Return whether a daemon has shown no sign of life for so long, the store included."""
+        """Return whether a daemon has shown no sign of life for `after_ms`, in the store either."""
 
     def is_registered(self) -> bool:
-        """Return whether this daemon's session stands in the store."""
+        """Return whether this daemon's session is in the store."""
 
     async def async_list_sessions(self) -> frozenset[str] | None:
-        """Return the sessions that stand in the store now, or None if it does not answer."""
+        """Return the sessions that are in the store now, or None if it does not answer."""
 
     def record_store_contact(self) -> None:
-        """Note an answer of the store."""
+        """Record that the store answered."""
 
     async def async_leave(self) -> None:
-        """Remove this daemon's session, so that nobody waits for its silence."""
+        """Remove this daemon's session, so that others do not wait for it to time out."""
 
 
 FLEET_LINKS: Final = ComponentKey[FleetLinks]("fleet")
 
 
 def hash_name(name: str) -> int:
-    """Return the short form of a name in beacons, a signed 32-bit number.
+    """Return the hash that stands for a name in beacons, a signed 32-bit number.
 
     >>> hash_name("a") == hash_name("a"), -(2**31) <= hash_name("b") < 2**31
     (True, True)
--- a/goldcreststair/components/fleet/session_heartbeat.py
+++ b/goldcreststair/components/fleet/session_heartbeat.py
@@ -1,4 +1,4 @@
-"""This daemon's session in the store, its heartbeat, and the sessions of those that are gone."""
+"""Writes this daemon's session and heartbeat rows, and removes the rows of lost daemons."""
 
 import asyncio
 import logging
@@ -28,71 +28,77 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-class FleetFace(Protocol):
-    """The fleet as this daemon shows it."""
+class FleetPublisher(Protocol):
+    """What the session heartbeat needs from the fleet service."""
 
     def publish(self) -> None:
-        """Put the fleet as it stands now on the blackboard."""
+        """Write the current fleet to the blackboard."""
 
-    def reads_heartbeats(self) -> bool:
-        """Return whether this daemon looks after the heartbeats of silent ones."""
+    def must_read_heartbeats(self) -> bool:
+        """Return whether this daemon checks the heartbeats of silent daemons."""
 
 
-class SessionKeeper:
-    """Registers this daemon, and takes those off the list that are gone."""
+class SessionHeartbeat:
+    """Registers this daemon, and removes the sessions of daemons that are gone."""
 
     def __init__(
-        self, core: GatewayCore, own: FleetVm, controller: FleetController, fleet: FleetFace
+        self,
+        core: GatewayCore,
+        own: FleetVm,
+        controller: FleetController,
+        publisher: FleetPublisher,
     ) -> None:
-        """Register nothing yet."""
+        """Store the collaborators; nothing is written before `start`."""
         self.registered = False
-        """Whether this daemon's session stands in the store."""
+        """Whether this daemon's session is in the store."""
         self._core = core
         self._own = own
         self._controller = controller
-        self._fleet = fleet
-        self._heartbeat = 0
+        self._publisher = publisher
+        self._heartbeat_count = 0
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Register, and begin to beat and to watch."""
+        """Start to register, to write heartbeats and to check those of silent daemons."""
         self._tasks = [
-            asyncio.create_task(self._async_beat()),
-            asyncio.create_task(self._async_watch()),
+            asyncio.create_task(self._async_write_heartbeats()),
+            asyncio.create_task(self._async_check_silent()),
         ]
 
     async def async_close(self) -> None:
-        """Stop."""
+        """Cancel the background tasks."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._tasks.clear()
 
     async def async_leave(self) -> None:
-        """Remove this daemon's rows, so that nobody waits for its silence."""
-        gone = Transaction(deletes=(self._row(TABLE_SESSIONS), self._row(TABLE_HEARTBEATS)))
+        """Remove this daemon's rows, so that others do not wait for its session to time out."""
+        deletion = Transaction(
+            deletes=(self._make_key(TABLE_SESSIONS), self._make_key(TABLE_HEARTBEATS))
+        )
         try:
             async with asyncio.timeout(LEAVE_TIMEOUT_MS / MS_PER_SECOND):
-                left = await self._core.adapter.store.async_commit(gone)
+                deleted = await self._core.adapter.store.async_commit(deletion)
         except TimeoutError:
-            _LOGGER.warning("Session not removed: the store is silent")
+            _LOGGER.warning("Session not removed: no answer from the store in time")
             return
-        if isinstance(left, Err):
-            _LOGGER.warning("Session not removed: %s", left.err_value.message)
+        if isinstance(deleted, Err):
+            _LOGGER.warning("Session not removed: %s", deleted.err_value.message)
 
-    def note_removed(self, session: str) -> None:
-        """Take it that a session is gone from the store; this daemon's own goes back."""
+    def mark_removed(self, session: str) -> None:
+        """Handle the removal of a session; if it is this daemon's own, it is written again."""
         self.registered = self.registered and session != self._own.session
 
-    async def _async_beat(self) -> None:
+    async def _async_write_heartbeats(self) -> None:
         store = self._core.adapter.store
         while True:
-            self._heartbeat += 1
+            self._heartbeat_count += 1
             if not self.registered:
                 self.registered = await self._async_register()
             else:
-                beat = (self._row(TABLE_HEARTBEATS), str(self._heartbeat).encode())
-                written = await store.async_commit(Transaction(puts=(beat,)))
+                heartbeat = (self._make_key(TABLE_HEARTBEATS), str(self._heartbeat_count).encode())
+                written = await store.async_commit(Transaction(puts=(heartbeat,)))
                 if isinstance(written, Ok):
                     self._controller.record_store_contact()
             pause_ms = BEACON_INTERVAL_MS
@@ -101,18 +107,18 @@
             await self._core.clock.async_sleep(pause_ms)
 
     async def _async_register(self) -> bool:
-        """Write this daemon's session, in place of the one that its process had before."""
+        """Write this daemon's session, replacing those of earlier processes at its address."""
         store = self._core.adapter.store
         read = await async_read_parts(store, TABLE_SESSIONS)
         if isinstance(read, Err):
             return False
         stale = [row.key for row in read.ok_value.rows if self._is_stale(row)]
-        beats = [RowKey(TABLE_HEARTBEATS, key.part, key.key) for key in stale]
+        heartbeats = [RowKey(TABLE_HEARTBEATS, key.part, key.key) for key in stale]
         puts = (
-            (self._row(TABLE_SESSIONS), encode_session(self._own)),
-            (self._row(TABLE_HEARTBEATS), str(self._heartbeat).encode()),
+            (self._make_key(TABLE_SESSIONS), encode_session(self._own)),
+            (self._make_key(TABLE_HEARTBEATS), str(self._heartbeat_count).encode()),
         )
-        written = await store.async_commit(Transaction(puts=puts, deletes=(*stale, *beats)))
+        written = await store.async_commit(Transaction(puts=puts, deletes=(*stale, *heartbeats)))
         if isinstance(written, Err):
             _LOGGER.warning("Session not written: %s", written.err_value.message)
             return False
@@ -129,19 +135,21 @@
         same = (vm.address, vm.peer_port) == (self._own.address, self._own.peer_port)
         return same and vm.session != self._own.session
 
-    async def _async_watch(self) -> None:
-        """Read heartbeats while a daemon is silent, and remove those that are gone."""
+    async def _async_check_silent(self) -> None:
+        """Read heartbeats while a daemon is unresponsive, and remove the sessions of those that are
+        gone.
+        """
         while True:
             await self._core.clock.async_sleep(HEARTBEAT_READ_MS)
-            parts = frozenset(choose_part(vm) for vm in self._controller.list_quiet())
-            if not parts or not self._fleet.reads_heartbeats():
+            parts = frozenset(choose_part(vm) for vm in self._controller.list_unresponsive())
+            if not parts or not self._publisher.must_read_heartbeats():
                 continue
             read = await async_read_parts(self._core.adapter.store, TABLE_HEARTBEATS, parts)
             if isinstance(read, Err):
                 continue
             self._controller.record_store_contact()
-            beats = {row.key.key: row.value for row in read.ok_value.rows}
-            self._controller.take_heartbeats(beats, parts)
+            heartbeats = {row.key.key: row.value for row in read.ok_value.rows}
+            self._controller.apply_heartbeats(heartbeats, parts)
             await self._async_remove_expired()
 
     async def _async_remove_expired(self) -> None:
@@ -156,9 +164,11 @@
             )
             removed = await self._core.adapter.store.async_commit(Transaction(deletes=rows))
             if isinstance(removed, Err):
-                _LOGGER.warning("Session of a lost daemon stays: %s", removed.err_value.message)
+                _LOGGER.warning(
+                    "Session of a lost daemon not removed: %s", removed.err_value.message
+                )
             self._controller.remove(session)
-        self._fleet.publish()
+        self._publisher.publish()
 
-    def _row(self, table: str) -> RowKey:
+    def _make_key(self, table: str) -> RowKey:
         return RowKey(table, choose_part(self._own), self._own.session)
--- a/goldcreststair/components/fleet/sessions.py
+++ b/goldcreststair/components/fleet/sessions.py
@@ -1,4 +1,4 @@
-"""Session rows to bytes and back."""
+"""Encodes and decodes session rows, and reads them from the store."""
 
 import logging
 from collections.abc import Iterable
@@ -19,11 +19,11 @@
 
 
 PARTS: Final = tuple(f"vm{number}" for number in range(SESSION_PARTS))
-"""Parts that hold the rows of sessions and heartbeats."""
+"""Store parts that hold the rows of sessions and heartbeats."""
 
 
 def choose_part(vm: FleetVm) -> str:
-    """Return the part that holds a daemon's rows; it stays the same when its process starts again.
+    """Return the part that holds a daemon's rows; it is the same after its process restarts.
 
     >>> one = FleetVm("s1", "10.0.0.1", 1, "", "", "")
     >>> choose_part(one) == choose_part(FleetVm("s2", "10.0.0.1", 1, "", "", "")), choose_part(one) in PARTS
@@ -35,12 +35,14 @@
 async def async_read_parts(
     store: RowStore, table: str, parts: Iterable[str] = PARTS
 ) -> Result[RowPage, PlatformError]:
-    """Return the rows of sessions or heartbeats, as of the oldest moment that holds for all of them."""
+    """Return the session or heartbeat rows of some parts, with the oldest version that holds for
+    all parts.
+    """
     return await async_read_whole(store, [RowRange(table, part) for part in parts])
 
 
 def encode_session(vm: FleetVm) -> bytes:
-    """Return the row of a session."""
+    """Return the encoded row of a session."""
     return encode_struct(
         SessionRow(
             vm.session, vm.address, vm.peer_port, vm.front_address, vm.data_centre, vm.region
@@ -49,7 +51,7 @@
 
 
 def decode_session(encoded: bytes) -> FleetVm | None:
-    """Return a session, or None for a row that holds none."""
+    """Return the session of a row, or None if the row cannot be decoded."""
     decoded = decode_struct(SessionRow, encoded)
     if isinstance(decoded, Err):
         _LOGGER.warning("Session row unreadable: %s", decoded.err_value.message)
--- a/tests/components/fleet/test_controller.py
+++ b/tests/components/fleet/test_controller.py
@@ -1,10 +1,10 @@
 """Who is heard, lost and gone, and whether this daemon is cut off."""
 
 from goldcreststair.components.fleet.const import (
+    AGREEMENT_GRACE_MS,
     EXPIRE_MS,
     ISOLATED_MS,
     LOST_MS,
-    SETTLE_MS,
     UNREACHABLE_MS,
 )
 from goldcreststair.components.fleet.controller import FleetController
@@ -20,9 +20,9 @@
 def make_controller(clock: ManualClock, *peers: str) -> FleetController:
     """Return a controller that has just heard its peers."""
     controller = FleetController(clock, make_vm("me"))
-    controller.take_rows([make_vm(peer) for peer in peers])
+    controller.replace_sessions([make_vm(peer) for peer in peers])
     for peer in peers:
-        controller.hear(peer, VmState.READY)
+        controller.apply_beacon(peer, VmState.READY)
     return controller
 
 
@@ -32,14 +32,14 @@
     """Read heartbeat rows every 600 ms for so long."""
     for _ in range(ms // 600):
         clock.advance(600)
-        controller.take_heartbeats(beats)
+        controller.apply_heartbeats(beats)
 
 
 def test_a_daemon_that_falls_silent_gets_no_callers() -> None:
     clock = ManualClock()
     controller = make_controller(clock, "a", "b")
     clock.advance(UNREACHABLE_MS)
-    controller.hear("a", VmState.READY)
+    controller.apply_beacon("a", VmState.READY)
     clock.advance(1)
     assert [vm.session for vm in controller.read_fleet().list_ready()] == ["a"]
     assert set(controller.read_fleet().vms) == {"me", "a", "b"}
@@ -102,10 +102,10 @@
     """A VM woke from a freeze and took the jobs of all others for left behind."""
     clock = ManualClock()
     controller = make_controller(clock, "a")
-    controller.take_heartbeats({"a": b"1"})
+    controller.apply_heartbeats({"a": b"1"})
     clock.advance(30_000)
-    controller.void()
-    controller.take_heartbeats({"a": b"1"})
+    controller.forget_contacts()
+    controller.apply_heartbeats({"a": b"1"})
     assert controller.list_expired() == [] and controller.read_fleet().lost == frozenset()
     assert controller.read_fleet().reachable == 1
 
@@ -113,32 +113,32 @@
 def test_daemons_that_hear_different_ones_do_not_agree_for_long() -> None:
     clock = ManualClock()
     controller = make_controller(clock, "a", "b")
-    same = controller.read_hears()
-    controller.hear("a", VmState.READY, same)
-    controller.hear("b", VmState.READY, same)
+    same = controller.read_responsive_hash()
+    controller.apply_beacon("a", VmState.READY, same)
+    controller.apply_beacon("b", VmState.READY, same)
     assert controller.read_fleet().agreed
-    controller.hear("b", VmState.READY, same + 1)
+    controller.apply_beacon("b", VmState.READY, same + 1)
     assert controller.read_fleet().agreed
-    clock.advance(SETTLE_MS)
+    clock.advance(AGREEMENT_GRACE_MS)
     assert not controller.read_fleet().agreed
-    controller.hear("b", VmState.READY, same)
+    controller.apply_beacon("b", VmState.READY, same)
     assert controller.read_fleet().agreed
 
 
 def test_a_daemon_that_does_not_say_whom_it_hears_differs_from_nobody() -> None:
     clock = ManualClock()
     controller = make_controller(clock, "a")
-    clock.advance(SETTLE_MS)
+    clock.advance(AGREEMENT_GRACE_MS)
     assert controller.read_fleet().agreed
 
 
 def test_a_daemon_that_is_heard_but_not_known_counts_as_a_stranger() -> None:
     clock = ManualClock()
     controller = make_controller(clock, "a")
-    assert not controller.hear("new", VmState.READY)
+    assert not controller.apply_beacon("new", VmState.READY)
     assert controller.read_fleet().unlisted == 1
     controller.add(make_vm("new"))
     assert controller.read_fleet().unlisted == 0
-    controller.hear("other", VmState.READY)
+    controller.apply_beacon("other", VmState.READY)
     clock.advance(UNREACHABLE_MS + 1)
     assert controller.read_fleet().unlisted == 0
--- a/tests/components/fleet/test_relays.py
+++ b/tests/components/fleet/test_relays.py
@@ -3,12 +3,12 @@
 import pytest
 
 from goldcreststair.components.fleet.const import (
-    RELAY_ANSWER_MS,
-    RELAY_SETTLED_MS,
-    RELAY_SHUNNED_MS,
+    RELAY_EXCLUSION_MS,
+    RELAY_FIRST_DIGEST_MS,
+    RELAY_SETTLE_MS,
 )
 from goldcreststair.components.fleet.models import FleetVm, VmState
-from goldcreststair.components.fleet.relays import RelayChoice, rank_relays
+from goldcreststair.components.fleet.relays import RelaySelector, rank_relays
 from standins.virtual_time import ManualClock
 
 TICK_MS = 150
@@ -21,29 +21,29 @@
 HEARD = VmState.READY
 
 
-def make_choice(clock: ManualClock) -> RelayChoice:
+def make_choice(clock: ManualClock) -> RelaySelector:
     """Return the choice of a daemon that has run for a while."""
-    choice = RelayChoice(clock, OWN)
-    choice.take_vms(VMS)
-    clock.advance(2 * RELAY_SETTLED_MS)
+    choice = RelaySelector(clock, OWN)
+    choice.replace_vms(VMS)
+    clock.advance(2 * RELAY_SETTLE_MS)
     return choice
 
 
 def play(
-    choice: RelayChoice, clock: ManualClock, ms: int, alive: set[str], heard: dict[str, VmState]
+    choice: RelaySelector, clock: ManualClock, ms: int, alive: set[str], heard: dict[str, VmState]
 ) -> None:
     """Let time pass; the relays that are alive answer whoever follows them."""
     for _ in range(ms // TICK_MS):
         clock.advance(TICK_MS)
         if choice.choose(heard) in alive:
-            choice.note_digest()
+            choice.record_digest()
 
 
 @pytest.mark.parametrize("gone", [0, 1, 2])
 def test_the_first_that_answers_is_followed(gone: int) -> None:
     clock = ManualClock()
     choice = make_choice(clock)
-    play(choice, clock, (gone + 1) * 2 * RELAY_ANSWER_MS, set(RANKED[gone:]), {})
+    play(choice, clock, (gone + 1) * 2 * RELAY_FIRST_DIGEST_MS, set(RANKED[gone:]), {})
     assert choice.followed == RANKED[gone]
 
 
@@ -58,7 +58,7 @@
     few = {session: HEARD for session in RANKED[-4:]}
     alive = set(RANKED[1:])
     choice.choose(few)
-    play(choice, clock, 2 * RELAY_SHUNNED_MS + RELAY_SETTLED_MS, alive, few)
+    play(choice, clock, 2 * RELAY_EXCLUSION_MS + RELAY_SETTLE_MS, alive, few)
     assert choice.followed == RANKED[1]
 
 
@@ -67,13 +67,13 @@
     look empty to all.
     """
     clock = ManualClock()
-    choice = RelayChoice(clock, OWN)
-    choice.take_vms({s: vm for s, vm in VMS.items() if s != RANKED[0]})
+    choice = RelaySelector(clock, OWN)
+    choice.replace_vms({s: vm for s, vm in VMS.items() if s != RANKED[0]})
     heard = dict.fromkeys(VMS, HEARD)
-    play(choice, clock, 2 * RELAY_SETTLED_MS, set(VMS), heard)
+    play(choice, clock, 2 * RELAY_SETTLE_MS, set(VMS), heard)
     assert choice.followed == RANKED[1]
-    choice.take_vms(VMS)
-    play(choice, clock, RELAY_SETTLED_MS - TICK_MS, set(VMS), heard)
+    choice.replace_vms(VMS)
+    play(choice, clock, RELAY_SETTLE_MS - TICK_MS, set(VMS), heard)
     assert choice.followed == RANKED[1]
     play(choice, clock, 2 * TICK_MS, set(VMS), heard)
     assert choice.followed == RANKED[0]
@@ -83,7 +83,7 @@
     clock = ManualClock()
     choice = make_choice(clock)
     heard = dict.fromkeys(VMS, HEARD)
-    play(choice, clock, RELAY_ANSWER_MS, set(VMS), heard)
+    play(choice, clock, RELAY_FIRST_DIGEST_MS, set(VMS), heard)
     assert choice.followed == RANKED[0]
     choice.choose(heard | {RANKED[0]: VmState.LEAVING})
     assert choice.followed == RANKED[1]
@@ -94,7 +94,7 @@
     others = rank_relays([vm for vm in VMS.values() if vm.data_centre != OWN.data_centre])
     choice = make_choice(ManualClock())
     transient = others[-1]
-    told = choice.list_remote("dc1", transient, {transient: HEARD})
+    told = choice.list_remote_targets("dc1", transient, {transient: HEARD})
     assert told == [transient, *others[:2]]
     everyone = dict.fromkeys(VMS, HEARD)
-    assert choice.list_remote("dc1", others[0], everyone) == others[:2]
+    assert choice.list_remote_targets("dc1", others[0], everyone) == others[:2]
