--- a/goldcreststair/components/fleet/changes.py
+++ b/goldcreststair/components/fleet/changes.py
@@ -15,11 +15,11 @@
 def log_changes(before: Fleet, after: Fleet) -> None:
     """Log the differences between two views of the fleet."""
     silent = [s for s in before.states.keys() - after.states.keys() if s in after.vms]
-    heard = [s for s in after.states.keys() - before.states.keys() if s in before.vms]
+    returned = [s for s in after.states.keys() - before.states.keys() if s in before.vms]
     _log_daemons("Daemon known", after.vms.keys() - before.vms.keys(), after)
     _log_daemons("Daemon dropped", before.vms.keys() - after.vms.keys(), before)
     _log_daemons("Daemon silent", silent, after, logging.WARNING)
-    _log_daemons("Daemon heard", heard, after)
+    _log_daemons("Daemon reachable again", returned, after)
 
 
 def _log_daemons(
--- a/goldcreststair/components/fleet/controller.py
+++ b/goldcreststair/components/fleet/controller.py
@@ -33,7 +33,7 @@
 @dataclass(slots=True)
 class _Peer:
     vm: FleetVm
-    observed_from: Millis
+    known_at: Millis
     state: VmState = VmState.STARTING
     last_seen_at: Millis | None = None
     heartbeat: bytes = b""
@@ -48,7 +48,7 @@
 
     def last_activity_at(self) -> Millis:
         """Return when the daemon last showed a sign of life."""
-        return max(self.observed_from, self.last_seen_at or 0, self.changed_at or 0)  # type: ignore[return-value]
+        return max(self.known_at, self.last_seen_at or 0, self.changed_at or 0)  # type: ignore[return-value]
 
 
 def choose_heartbeat_ms(daemons: int) -> int:
@@ -168,8 +168,8 @@
         self._peer_contact_at = self._relay_updated_at = self._clock.now()
 
     def apply_unresponsive(self, unresponsive: AbstractSet[str]) -> None:
-        """Set the reachable daemons whose data centre sends no digests; they keep their own share
-        of quotas.
+        """Set the reachable daemons that keep their share of quotas, as their data centre is
+        silent.
         """
         self._unresponsive = frozenset(unresponsive)
 
@@ -184,7 +184,7 @@
             peer.lost_at = None if silent_ms is None else Millis(now - silent_ms)
 
     def list_lost(self) -> dict[str, int]:
-        """Return for how long daemons have been silent that this daemon itself found lost, in ms."""
+        """Return for how long the daemons that this one found lost have been silent, in ms."""
         return {
             session: self._read_silent_ms(session, peer)
             for session, peer in self._peers.items()
@@ -221,11 +221,11 @@
             peer.last_seen_at = None
             # Silence is counted from now on, as this process received no beacons while it was
             # paused.
-            peer.observed_from = now
+            peer.known_at = now
             peer.unchanged_ms = 0
 
     def list_unresponsive(self) -> list[FleetVm]:
-        """Return the daemons whose heartbeats have to be read, as they have sent no recent beacon."""
+        """Return the daemons without a recent beacon, whose heartbeats have to be read."""
         responsive = frozenset(self._list_responsive())
         return [peer.vm for session, peer in self._peers.items() if session not in responsive]
 
@@ -255,9 +255,7 @@
         return [session for session in self._peers if self.is_lost(session, EXPIRE_MS)]
 
     def read_contact_age_ms(self) -> int:
-        """Return the ms since the last contact with the store or another daemon; 0 if there is no
-        other.
-        """
+        """Return the ms since the last contact with store or peers; 0 if there is no other daemon."""
         if not self._peers:
             return 0
         return self._clock.now() - max(self._store_contact_at, self._peer_contact_at)
@@ -287,8 +285,8 @@
         # meanwhile uses its share, while this one divides the whole quota among the daemons it
         # knows.
         horizon = self._clock.now() - UNREACHABLE_MS
-        reachable = {s: at for s, at in self._unlisted.items() if at >= horizon}
-        self._unlisted = {s: at for s, at in reachable.items() if s not in self._peers}
+        recent = {s: at for s, at in self._unlisted.items() if at >= horizon}
+        self._unlisted = {s: at for s, at in recent.items() if s not in self._peers}
         return len(self._unlisted)
 
     def read_responsive_hash(self) -> int:
@@ -296,7 +294,7 @@
         return reduce(xor, map(hash_name, self._list_responsive()), hash_name(self._own.session))
 
     def read_all_seen_since(self) -> Millis:
-        """Return the time since which all responsive daemons have been seen; now if there is none."""
+        """Return since when all responsive daemons have been seen; now if there is none."""
         times = [self._read_seen_at(s, self._peers[s]) for s in self._list_responsive()]
         return min(times, default=self._clock.now())
 
--- a/goldcreststair/components/fleet/dissemination.py
+++ b/goldcreststair/components/fleet/dissemination.py
@@ -1,4 +1,7 @@
-"""Beacons and digests in a large fleet: to the relays of the data centre, and from the one followed."""
+"""Exchanges beacons and digests in a large fleet.
+
+Beacons go to the relays of the data centre, and digests come from the relay that is followed.
+"""
 
 import logging
 import struct
@@ -34,40 +37,45 @@
 _LOGGER = logging.getLogger(__name__)
 
 MAX_KEPT_BEACONS: Final = 64
-"""Own beacons that are remembered: a digest holds one that is some 200 ms old."""
+"""Own beacons that are kept: a digest includes one that is about 200 ms old."""
 _STATES: Final = frozenset(state.value for state in VmState)
 _INCLUDED: Final = struct.Struct(">q")
-"""Number of the receiver's last beacon that a digest holds; 0 for none."""
+"""Sequence number of the receiver's last beacon that a digest includes; 0 for none."""
 
 
 class FleetViewListener(Protocol):
-    """Takes what the fleet says; the rest of the daemon's links."""
+    """Receives the fleet view of the followed relay; implemented by the fleet service."""
 
     def apply_fleet_view(self, relay: str, beacon: Beacon) -> None:
-        """Take what all other daemons say together, as one beacon of a relay."""
+        """Apply the aggregated state of all other daemons, as one beacon of a relay."""
 
     def renew_reachable(self) -> None:
-        """Take it that the relay hears the same daemons as before."""
+        """Extend the relay's last report: it still reaches the same daemons."""
 
     def apply_reachable(
         self, reachable: Mapping[str, VmState], with_store: AbstractSet[str], *, settled: bool
     ) -> None:
-        """Take whom the relay hears; one that is not `settled` has not reachable everyone yet."""
+        """Apply the set of daemons that the relay reaches.
+
+        A relay that is not `settled` has not received all beacons yet.
+        """
 
     def apply_unresponsive(self, unresponsive: AbstractSet[str]) -> None:
-        """Take which of the daemons reachable keep their part of quotas, as little is reachable of them."""
+        """Set the reachable daemons that keep their share of quotas, as their data centre is
+        silent.
+        """
 
     def apply_lost(self, lost_ms: Mapping[str, int]) -> None:
-        """Take which daemons the relays know to be gone, and for how long."""
+        """Apply which daemons the relays found lost, and for how long, in ms."""
 
     def list_lost(self) -> Mapping[str, int]:
-        """Return for how long those have been silent whose heartbeats stand still as well."""
+        """Return for how long daemons without changing heartbeats have been silent, in ms."""
 
     def set_unreachable(self, *, unreachable: bool) -> None:
-        """Take it whether no relay hears this daemon."""
+        """Set whether no relay receives this daemon's beacons."""
 
     def drop_fleet_view(self, relay: str) -> None:
-        """Forget what a relay said, as another one is followed."""
+        """Drop the view of a relay, as another one is followed."""
 
     def schedule_beacon(self) -> None:
         """Send a beacon soon."""
@@ -75,7 +83,7 @@
 
 @dataclass(slots=True)
 class _OwnReport:
-    """What one of this daemon's beacons said: it has to be taken out of the digests that hold it."""
+    """Contents of one of this daemon's beacons, to subtract from digests that include it."""
 
     sequence: int
     at: Millis
@@ -85,10 +93,10 @@
 
 
 class RelayedLinks:
-    """Tells relays what this daemon does, relays for others, and takes the fleet's picture."""
+    """Sends beacons to relays, relays for other daemons, and receives the fleet view."""
 
     def __init__(self, core: GatewayCore, own: FleetVm, listener: FleetViewListener) -> None:
-        """Follow nobody."""
+        """Start without a relay."""
         self._core = core
         self._clock = core.clock
         self._own = own
@@ -100,38 +108,39 @@
         self._sessions: dict[int, str] = {}
         """Sessions by their hashes."""
         self._reachable: dict[str, VmState] = {}
-        """What the relay that is followed says of each daemon."""
+        """State of each daemon that the followed relay reaches."""
         self._sent: deque[_OwnReport] = deque(maxlen=MAX_KEPT_BEACONS)
         self._last_included_at = core.clock.now()
-        """When a digest last held a beacon of the last moments."""
+        """When the newest own beacon that a digest included was sent."""
         self._applied: tuple[str, int] = ("", 0)
-        """Relay and number of the last digest taken; the relay is empty until it sent a whole one."""
+        """Relay and sequence number of the last digest applied; no relay before its first whole
+        digest."""
         self._standby_at = Millis(0)
         self._digest_at = Millis(0)
         self._whole_at = Millis(0)
         self._changed = False
         self._reachable_changed = False
         self._unresponsive: frozenset[str] = frozenset()
-        """Data centres that had not spoken for some time, by the last digest."""
-        self._digest_recipients: dict[str, str] = {}
-        """By data centre, the relay that was told last."""
+        """Data centres that had not sent digests for some time when the last digest was built."""
+        self._last_relays: dict[str, str] = {}
+        """By data centre, the relay that the last digest was sent to."""
         self._timer: TimerHandle | None = None
         self._due_at = Millis(0)
         """When the timer fires."""
         self._on_batch: list[BatchRunsListener] = []
 
     def close(self) -> None:
-        """Stop."""
+        """Cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def subscribe_batch_runs(self, on_batch: BatchRunsListener) -> None:
-        """Be told of the batch runs of all other daemons, whenever a digest comes."""
+        """Register a callback for the batch runs of all other daemons; called on every digest."""
         self._on_batch.append(on_batch)
 
     def replace_vms(self, vms: Mapping[str, FleetVm]) -> None:
-        """Take the daemons that stand in the store."""
+        """Replace the known daemons by those that are in the store."""
         if vms.keys() != self._vms.keys():
             self._sessions = {hash_name(session): session for session in vms}
         self._vms = vms
@@ -142,20 +151,20 @@
         return self._sessions.get(daemon, "")
 
     def forget(self, session: str) -> None:
-        """Drop a daemon that is gone."""
+        """Remove a daemon that is gone."""
         self._tracker.forget(session)
         self._reachable.pop(session, None)
 
     def is_relay(self) -> bool:
-        """Return whether this daemon relays, or stands by for it."""
+        """Return whether this daemon relays or is the standby relay."""
         return self._selector.is_relay() or bool(self._tracker.list_followers())
 
     def has_fleet_view(self) -> bool:
-        """Return whether a relay tells this daemon of the fleet."""
+        """Return whether a relay has sent this daemon a view of the fleet."""
         return bool(self._applied[0])
 
     def tick(self) -> None:
-        """Look whether the relay that is followed still speaks, and speak if this daemon is one."""
+        """Replace a silent relay by another one, and schedule a digest if this daemon relays."""
         before = self._selector.followed
         followed = self._selector.choose(self._reachable)
         if followed != before:
@@ -163,18 +172,18 @@
             _LOGGER.info("Relay followed", extra=extra)
             self._applied = ("", 0)
             self._listener.schedule_beacon()
-        unheard_ms = self._clock.now() - self._last_included_at
-        self._listener.set_unreachable(unreachable=unheard_ms > MEMBER_TIMEOUT_MS)
+        not_included_ms = self._clock.now() - self._last_included_at
+        self._listener.set_unreachable(unreachable=not_included_ms > MEMBER_TIMEOUT_MS)
         self._schedule_digest()
 
     def send(self, beacon: Beacon) -> None:
-        """Tell the relays what this daemon does."""
+        """Send this daemon's beacon to the relays."""
         followed = self._selector.followed
         self._sent.append(self._make_own_report(beacon))
-        standby = _frame(beacon)
+        standby_frame = _frame(beacon)
         beacon.follows = True
         beacon.needs_whole = None if self._applied[0] == followed else True
-        wanted = _frame(beacon)
+        follower_frame = _frame(beacon)
         now = self._clock.now()
         send_standby = now - self._standby_at >= STANDBY_GAP_MS
         if send_standby:
@@ -183,28 +192,29 @@
             if session == self._own.session:
                 continue
             if session == followed:
-                self._send_to(session, wanted)
+                self._send_to(session, follower_frame)
             elif send_standby:
-                self._send_to(session, standby)
+                self._send_to(session, standby_frame)
         self._apply_own_beacon(beacon, followed)
 
     def _apply_own_beacon(self, beacon: Beacon, followed: str) -> None:
         beacon.follows = followed == self._own.session
-        # A daemon that relays for others has to count itself, whomever it follows.
+        # A relay includes its own beacon in its digests, whichever relay it follows itself.
         if beacon.follows or self._tracker.list_followers():
             self.apply_beacon(self._own.session, beacon)
 
     def _make_own_report(self, beacon: Beacon) -> _OwnReport:
         counts = self._sent[-1].counts if self._sent else {}
         if beacon.admitted:
-            # A beacon leaves out customers that have been unresponsive; their counters stand where they stood.
+            # A beacon leaves out customers without recent requests; their counters have not
+            # changed.
             counts = counts | {count.customer: count.admitted for count in beacon.admitted}
         runs = {run.upstream: run for run in beacon.runs or ()}
         now, waiting = self._clock.now(), beacon.batch_waiting or 0
         return _OwnReport(beacon.sequence, now, runs, counts, waiting)
 
     def apply_beacon(self, session: str, beacon: Beacon) -> None:
-        """Take another daemon's beacon, as a relay."""
+        """Apply another daemon's beacon, as a relay."""
         vm = self._vms.get(session)
         if vm is None or vm.data_centre != self._own.data_centre:
             return
@@ -213,7 +223,7 @@
         self._schedule_digest()
 
     def apply_digest(self, payload: bytes) -> None:
-        """Take a digest of a relay."""
+        """Apply the digest of a relay."""
         if len(payload) <= _INCLUDED.size:
             _LOGGER.warning("Digest unreadable: %s bytes", len(payload))
             return
@@ -231,7 +241,7 @@
             self._apply_fleet_digest(digest, included)
 
     def _schedule_digest(self) -> None:
-        """Send a digest soon, if anyone takes them."""
+        """Schedule the next digest if any daemon follows this one."""
         if not self._tracker.list_followers():
             return
         gap_ms = DIGEST_GAP_MS if self._changed else DIGEST_IDLE_MS
@@ -266,9 +276,9 @@
         relays = {data_centre: self._tracker.read_relay(data_centre) for data_centre in others}
         # A relay that has just taken over knows nothing of this data centre yet.
         digest = self._tracker.build_data_centre_digest(
-            lost_ms, whole=whole or relays != self._digest_recipients
+            lost_ms, whole=whole or relays != self._last_relays
         )
-        self._digest_recipients = relays
+        self._last_relays = relays
         framed = bytes((DatagramKind.DIGEST,)) + _INCLUDED.pack(0) + encode_struct(digest)
         for data_centre, last_relay in relays.items():
             for session in self._selector.list_remote_targets(
@@ -281,14 +291,14 @@
     ) -> None:
         digest = self._tracker.build_fleet_digest(lost_ms, whole=whole)
         encoded = encode_struct(digest)
-        everything = encoded
+        whole_encoded = encoded
         if not whole and any(beacon.needs_whole for beacon in followers.values()):
-            everything = encode_struct(self._tracker.build_fleet_digest(lost_ms, whole=True))
+            whole_encoded = encode_struct(self._tracker.build_fleet_digest(lost_ms, whole=True))
         for session, beacon in followers.items():
             if session == self._own.session:
                 self._apply_fleet_digest(digest, beacon.sequence)
                 continue
-            body = everything if beacon.needs_whole else encoded
+            body = whole_encoded if beacon.needs_whole else encoded
             included = _INCLUDED.pack(beacon.sequence)
             self._send_to(session, bytes((DatagramKind.DIGEST,)) + included + body)
 
@@ -304,7 +314,7 @@
             return
         if relay != digest.relay and not digest.whole:
             return
-        own = next((word for word in self._sent if word.sequence == included), None)
+        own = next((report for report in self._sent if report.sequence == included), None)
         if own is None and included:
             return
         if relay != digest.relay:
@@ -346,7 +356,7 @@
 
 
 def _read_state(number: int) -> VmState:
-    """Return a state; one that a newer version may know counts as starting, and gets no callers."""
+    """Return a state; one unknown to this version counts as starting, and gets no callers."""
     return VmState(number) if number in _STATES else VmState.STARTING
 
 
@@ -355,9 +365,9 @@
 
 
 def _subtract_own(digest: Digest, own: _OwnReport | None) -> Beacon:
-    """Return what all others say together: a digest without this daemon's own word."""
+    """Return the aggregated state of all others: a digest without this daemon's own report."""
     runs, counts, waiting = (own.runs, own.counts, own.waiting) if own else ({}, {}, 0)
-    # The catalogue is fetched from who has it, which may be another one than the relay.
+    # The catalogue is fetched from the daemon that has it, which may be another one than the relay.
     session = digest.newest_at or digest.relay
     beacon = Beacon(session, digest.sequence, int(VmState.READY), digest.catalogue_version)
     beacon.runs = [_subtract_runs(run, runs.get(run.upstream)) for run in digest.runs or ()]
--- a/goldcreststair/components/fleet/service.py
+++ b/goldcreststair/components/fleet/service.py
@@ -1,4 +1,4 @@
-"""Beacons between daemons, and this daemon's session in the store."""
+"""Sends and receives beacons, and publishes the fleet on the blackboard."""
 
 import asyncio
 import logging
@@ -58,7 +58,7 @@
     """Implements `FleetLinks`."""
 
     def __init__(self, core: GatewayCore) -> None:
-        """Know only this daemon; nothing runs yet."""
+        """Start with this daemon only; nothing runs before `async_start`."""
         settings = core.settings
         self._core = core
         self._own = FleetVm(
@@ -84,7 +84,7 @@
         self._beacon_listeners: list[BeaconListener] = []
         self._gone_listeners: list[Callable[[str], None]] = []
         self._handlers: dict[int, NoticeHandler] = {}
-        """By the kind of datagram."""
+        """Handlers by the kind of datagram."""
         self._sequence = 0
         self._sequences: dict[str, int] = {}
         self._sent_at = Millis(0)
@@ -97,10 +97,10 @@
         """Sessions whose last beacon said that the store answers them."""
         self._session_heartbeat = SessionHeartbeat(core, self._own, self._controller, self)
         self._relayed_links = RelayedLinks(core, self._own, self)
-        """In a fleet too large for beacons to all."""
+        """Used in a fleet too large for beacons to all."""
 
     async def async_start(self) -> None:
-        """Announce this daemon and follow the others."""
+        """Register this daemon and start to follow the others."""
         self._next_tick_at = self._core.clock.now()
         board = self._core.blackboard
         self._unsubscribe = board.subscribe(OWN_STATE, self._on_own_state)
@@ -115,7 +115,7 @@
         self._session_heartbeat.start()
 
     async def async_close(self) -> None:
-        """Take this daemon's session out of the store, if it answers, and stop."""
+        """Stop all tasks and close the sockets."""
         self._unsubscribe()
         for task in self._tasks:
             task.cancel()
@@ -130,28 +130,28 @@
         self._core.datagrams.close()
 
     async def async_leave(self) -> None:
-        """Remove this daemon's rows, so that nobody waits for its silence."""
+        """Remove this daemon's rows, so that others do not wait for its session to time out."""
         await self._session_heartbeat.async_leave()
 
     def add_beacon_contributor(self, add_beacon_contributor: BeaconContributor) -> None:
-        """Add to every beacon from now on."""
+        """Register a callback that adds fields to every beacon."""
         self._contributors.append(add_beacon_contributor)
 
     def subscribe_beacons(self, on_beacon: BeaconListener, on_gone: Callable[[str], None]) -> None:
-        """Be told of every beacon that is news, and of each daemon that is gone."""
+        """Register callbacks for every new beacon and for each daemon that is gone."""
         self._beacon_listeners.append(on_beacon)
         self._gone_listeners.append(on_gone)
 
     def subscribe_batch_runs(self, on_batch: BatchRunsListener) -> None:
-        """In a large fleet, be told which daemons have batch runs where."""
+        """Register a callback for the batch runs of other daemons; only called in a large fleet."""
         self._relayed_links.subscribe_batch_runs(on_batch)
 
     def has_mesh(self) -> bool:
-        """Return whether all daemons tell each other; else relays do, and all is known later."""
+        """Return whether every daemon sends beacons to every other one."""
         return self._controller.has_mesh()
 
     def schedule_beacon(self) -> None:
-        """Send a beacon soon, as something changed that others act on."""
+        """Send a beacon soon, because something changed that other daemons act on."""
         if self._timer is not None:
             return
         gap_ms = BEACON_MIN_GAP_MS if self._controller.has_mesh() else RELAYED_MIN_GAP_MS
@@ -167,73 +167,74 @@
             self._core.datagrams.send(vm.address, vm.peer_port, datagram)
 
     def notify_by_hash(self, daemon: int, kind: DatagramKind, payload: bytes) -> None:
-        """Send one datagram to the daemon whose session has this hash."""
+        """Send one datagram to the daemon whose session has this hash; it may be lost."""
         session = self._relayed_links.find_session(daemon)
         if session:
             self.notify(session, kind, payload)
 
     def register_request_handler(self, kind: PeerRequestKind, handler: PeerRequestHandler) -> None:
-        """Answer the questions of one kind."""
+        """Register the handler for requests of one kind."""
         self._peer_requests.register_request_handler(kind, handler)
 
     async def async_request(
         self, session: str, kind: PeerRequestKind, payload: bytes, timeout_ms: int
     ) -> Result[bytes, PeerRequestError]:
-        """Ask one daemon over a connection of its own."""
+        """Send a request to one daemon over a separate connection and return the response."""
         return await self._peer_requests.async_request(session, kind, payload, timeout_ms)
 
     def list_with_store_access(self) -> list[str]:
-        """Return the other daemons that are reachable and whose store answers."""
+        """Return the other ready daemons that are reachable and have contact with the store."""
         states = self._core.blackboard.read(FLEET).states
         return [s for s in states if s in self._with_store_access and states[s] is VmState.READY]
 
     def register_notice_handler(self, kind: DatagramKind, handler: NoticeHandler) -> None:
-        """Handle the datagrams of one kind."""
+        """Register the handler for datagrams of one kind."""
         self._handlers[kind] = handler
 
     def is_isolated(self) -> bool:
-        """Return whether this daemon hears neither the store nor any other daemon."""
+        """Return whether this daemon has contact with neither the store nor another daemon."""
         self._check_paused()
         return self._controller.is_isolated()
 
     def read_contact_age_ms(self) -> int:
-        """Return the ms since the store or another daemon was reachable; 0 if there is no other."""
+        """Return the ms since the last contact with store or peers; 0 if there is no other daemon."""
         self._check_paused()
         return self._controller.read_contact_age_ms()
 
     def read_all_seen_since(self) -> Millis:
-        """Return since when every daemon that counts as reachable has been reachable; now if there is none."""
+        """Return since when all responsive daemons have been seen; now if there is none."""
         return self._controller.read_all_seen_since()
 
     def is_lost(self, session: str, after_ms: int) -> bool:
-        """Return whether a daemon has shown no sign of life for so long, the store included."""
+        """Return whether a daemon has shown no sign of life for `after_ms`, in the store either."""
         return self._controller.is_lost(session, after_ms)
 
     def is_registered(self) -> bool:
-        """Return whether this daemon's session stands in the store."""
+        """Return whether this daemon's session is in the store."""
         return self._session_heartbeat.registered
 
     async def async_list_sessions(self) -> frozenset[str] | None:
-        """Return the sessions that stand in the store now, or None if it does not answer."""
+        """Return the sessions that are in the store now, or None if it does not answer."""
         read = await async_read_parts(self._core.adapter.store, TABLE_SESSIONS)
         if isinstance(read, Err):
             return None
         return frozenset(row.key.key for row in read.ok_value.rows)
 
     def record_store_contact(self) -> None:
-        """Note an answer of the store."""
+        """Record that the store answered."""
         self._controller.record_store_contact()
 
     def take_all(self, rows: Sequence[StoredRow], version: Version) -> None:
-        """Take every session in the store."""
+        """Replace all known sessions by those in the store."""
         self._controller.replace_sessions(vm for row in rows if (vm := decode_session(row.value)))
         self.publish()
 
     def take_changes(self, rows: Sequence[StoredRow]) -> None:
-        """Take sessions that came or went."""
+        """Apply sessions that were added to the store or removed."""
         for row in rows:
             if row.deleted:
-                # Taken for gone while it was cut off, this daemon lives: its session goes back.
+                # If this daemon's own session was removed while it was partitioned, the session is
+                # written again.
                 self._session_heartbeat.mark_removed(row.key.key)
                 self._controller.remove(row.key.key)
             elif vm := decode_session(row.value):
@@ -241,7 +242,7 @@
         self.publish()
 
     def note_contact(self, *, reached: bool) -> None:
-        """Note whether the store answered."""
+        """Record whether the store answered."""
         if reached:
             self._controller.record_store_contact()
 
@@ -251,7 +252,7 @@
         self.schedule_beacon()
 
     def publish(self) -> None:
-        """Put the fleet as it stands now on the blackboard."""
+        """Write the current fleet to the blackboard."""
         before = self._core.blackboard.read(FLEET)
         fleet = self._controller.read_fleet()
         if fleet == before:
@@ -260,12 +261,13 @@
         log_changes(before, fleet)
         if fleet.vms.keys() != before.vms.keys():
             self._relayed_links.replace_vms(fleet.vms)
-            # Callers of a daemon that has just started wait until a relay tells it of the others.
+            # Callers of a daemon that has just started wait until a relay has sent it the fleet
+            # view.
             if not (self._controller.has_mesh() or self._relayed_links.has_fleet_view()):
                 self._relayed_links.tick()
                 self.schedule_beacon()
         if fleet.responsive != before.responsive and self._controller.has_mesh():
-            # Until the others know whom this daemon hears, their sets differ.
+            # The others' sets of responsive daemons differ from this one until they receive it.
             self.schedule_beacon()
         for session in before.vms.keys() - fleet.vms.keys():
             self._sequences.pop(session, None)
@@ -315,7 +317,7 @@
             _LOGGER.warning("Beacon unreadable: %s", decoded.err_value.message)
             return
         beacon = decoded.ok_value
-        # Datagrams overtake each other: an older one would bring back runs that have ended.
+        # Datagrams may arrive out of order: an older one would restore runs that have ended.
         if beacon.sequence <= self._sequences.get(beacon.session, 0):
             return
         try:
@@ -327,7 +329,7 @@
             return
         self._sequences[beacon.session] = beacon.sequence
         if not self._controller.has_mesh():
-            # Told to all by the digests, this daemon's among them.
+            # The digests carry it to all daemons, also those of this daemon.
             self._relayed_links.apply_beacon(beacon.session, beacon)
             return
         if beacon.store_away:
@@ -339,9 +341,10 @@
         self._notify_listeners(beacon.session, beacon)
 
     def must_read_heartbeats(self) -> bool:
-        """Return whether this daemon looks after the heartbeats of silent ones."""
-        # One silent daemon would else have hundreds read all heartbeats, twice a second each. The relays
-        # tell the others who is lost; where none is followed, everyone looks for itself.
+        """Return whether this daemon checks the heartbeats of silent daemons."""
+        # Otherwise one silent daemon would make hundreds of daemons read all heartbeats, twice a
+        # second each. Relays report lost daemons to the others; a daemon without a relay checks by
+        # itself.
         relayed = not self._controller.has_mesh() and self._relayed_links.has_fleet_view()
         return not relayed or self._relayed_links.is_relay()
 
@@ -350,39 +353,44 @@
             on_beacon(session, beacon)
 
     def apply_fleet_view(self, relay: str, beacon: Beacon) -> None:
-        """Take what all other daemons say together, as one beacon of a relay."""
+        """Apply the aggregated state of all other daemons, as one beacon of a relay."""
         self._notify_listeners(relay, beacon)
 
     def renew_reachable(self) -> None:
-        """Take it that the relay hears the same daemons as before."""
+        """Extend the relay's last report: it still reaches the same daemons."""
         self._controller.renew_reachable()
 
     def apply_reachable(
         self, reachable: Mapping[str, VmState], with_store: AbstractSet[str], *, settled: bool
     ) -> None:
-        """Take whom the relay hears; one that is not `settled` has not reachable everyone yet."""
+        """Apply the set of daemons that the relay reaches.
+
+        A relay that is not `settled` has not received all beacons yet.
+        """
         self._controller.apply_reachable(reachable, settled=settled)
         self._with_store_access = set(with_store) - {self._own.session}
         self.publish()
 
     def apply_unresponsive(self, unresponsive: AbstractSet[str]) -> None:
-        """Take which of the daemons reachable keep their part of quotas, as little is reachable of them."""
+        """Set the reachable daemons that keep their share of quotas, as their data centre is
+        silent.
+        """
         self._controller.apply_unresponsive(unresponsive)
 
     def apply_lost(self, lost_ms: Mapping[str, int]) -> None:
-        """Take which daemons the relays know to be gone, and for how long."""
+        """Apply which daemons the relays found lost, and for how long, in ms."""
         self._controller.apply_lost(lost_ms)
 
     def list_lost(self) -> Mapping[str, int]:
-        """Return for how long those have been silent whose heartbeats stand still as well."""
+        """Return for how long daemons without changing heartbeats have been silent, in ms."""
         return self._controller.list_lost()
 
     def set_unreachable(self, *, unreachable: bool) -> None:
-        """Take it whether no relay hears this daemon."""
+        """Set whether no relay receives this daemon's beacons."""
         self._controller.set_unreachable(unreachable=unreachable)
 
     def drop_fleet_view(self, relay: str) -> None:
-        """Forget what a relay said, as another one is followed."""
+        """Drop the view of a relay, as another one is followed."""
         if relay:
             for on_gone in self._gone_listeners:
                 on_gone(relay)
@@ -402,18 +410,18 @@
             await clock.async_sleep(tick_ms)
 
     def _check_paused(self) -> None:
-        """Void what this daemon believes if it stood still; called before each decision by age.
+        """Discard time-dependent state if this process was paused; called before decisions by age.
 
-        The first thing that a woken process handles may be a caller's request, or a beacon that
-        waited in its socket and makes old beliefs look fresh, and not the tick.
+        The first thing that a resumed process handles may be a caller's request instead of the
+        tick, or a beacon that waited in its socket and makes outdated state look recent.
         """
         late_ms = self._core.clock.now() - self._next_tick_at
         if late_ms <= PAUSE_THRESHOLD_MS:
             return
         self._next_tick_at = Millis(self._core.clock.now() + TICK_MS)
         _LOGGER.warning("Stood still", extra={"stood_ms": late_ms})
-        # It has missed news: who lives, which keys were withdrawn, what others spent. Each belief
-        # counts again once it was reachable again.
+        # The process missed which daemons are alive, which keys were withdrawn and what others
+        # admitted. Each piece of state is valid again once it has been received again.
         self._controller.forget_contacts()
         for on_awake in self._core.on_awake:
             on_awake(late_ms)
