--- a/goldcreststair/components/fleet/changes.py
+++ b/goldcreststair/components/fleet/changes.py
@@ -25,9 +25,7 @@
 def _log_daemons(
     event: str, sessions: Collection[str], fleet: Fleet, level: int = logging.INFO
 ) -> None:
-    """Log one line per daemon, or one line in total if there are many, as when a large fleet
-    starts.
-    """
+    """Log one line per daemon, or a single line for many, as when a large fleet starts."""
     if len(sessions) > MAX_CHANGE_LINES:
         counts = {"daemons": len(sessions), "of": len(fleet.vms), "heard": fleet.reachable}
         _LOGGER.log(level, "%s, many at once", event, extra=counts)
--- a/goldcreststair/components/fleet/controller.py
+++ b/goldcreststair/components/fleet/controller.py
@@ -143,8 +143,7 @@
         return True
 
     def apply_reachable(self, reachable: Mapping[str, VmState], *, settled: bool) -> None:
-        """Apply the set of daemons that a relay reaches, itself included; valid until the next
-        report.
+        """Apply the set of daemons that a relay reaches, itself included, until its next report.
 
         A relay that is not `settled` has just started to relay and has not received all beacons
         yet.
@@ -168,9 +167,7 @@
         self._peer_contact_at = self._relay_updated_at = self._clock.now()
 
     def apply_unresponsive(self, unresponsive: AbstractSet[str]) -> None:
-        """Set the reachable daemons that keep their share of quotas, as their data centre is
-        silent.
-        """
+        """Set the reachable daemons of silent data centres; they keep their own share of quotas."""
         self._unresponsive = frozenset(unresponsive)
 
     def apply_lost(self, lost_ms: Mapping[str, int]) -> None:
@@ -205,11 +202,7 @@
                 continue
             found = heartbeats.get(session, b"")
             if found != peer.heartbeat:
-                peer.heartbeat, peer.changed_at, peer.unchanged_ms = (
-                    found,
-                    now,
-                    0,
-                )
+                peer.heartbeat, peer.changed_at, peer.unchanged_ms = found, now, 0
             else:
                 peer.unchanged_ms = now - (peer.changed_at or now)
 
@@ -255,7 +248,7 @@
         return [session for session in self._peers if self.is_lost(session, EXPIRE_MS)]
 
     def read_contact_age_ms(self) -> int:
-        """Return the ms since the last contact with store or peers; 0 if there is no other daemon."""
+        """Return the ms since the last contact with store or peers; 0 without other daemons."""
         if not self._peers:
             return 0
         return self._clock.now() - max(self._store_contact_at, self._peer_contact_at)
@@ -294,7 +287,7 @@
         return reduce(xor, map(hash_name, self._list_responsive()), hash_name(self._own.session))
 
     def read_all_seen_since(self) -> Millis:
-        """Return since when all responsive daemons have been seen; now if there is none."""
+        """Return the oldest last-seen time of all responsive daemons; now if there is none."""
         times = [self._read_seen_at(s, self._peers[s]) for s in self._list_responsive()]
         return min(times, default=self._clock.now())
 
--- a/goldcreststair/components/fleet/digests.py
+++ b/goldcreststair/components/fleet/digests.py
@@ -196,9 +196,7 @@
         self._sequence = 0
 
     def apply_beacon(self, session: str, beacon: Beacon) -> bool:
-        """Apply a beacon of this data centre; returns whether its sender's reachability or state
-        changed.
-        """
+        """Apply a member's beacon; returns whether its reachability or its state changed."""
         now = self._clock.now()
         member = self._members.get(session)
         changed = (
@@ -216,9 +214,7 @@
         return changed
 
     def apply_digest(self, digest: Digest) -> bool:
-        """Apply a remote data centre's digest; returns whether its relay lists other daemons than
-        before.
-        """
+        """Apply a remote digest; returns whether its relay lists other daemons than before."""
         relays = self._remotes.setdefault(digest.data_centre, {})
         known = relays.get(digest.relay)
         if known is not None and known.digest.sequence >= digest.sequence:
@@ -270,7 +266,7 @@
         return best.digest.relay if best is not None else ""
 
     def build_data_centre_digest(self, lost_ms: Mapping[str, int], *, whole: bool) -> Digest:
-        """Return the digest of this data centre; `lost_ms` holds how long daemons have been lost."""
+        """Return the digest of this data centre; `lost_ms` holds for how long daemons are lost."""
         total = self._add_members(lost_ms)
         return self._finish(total, self._data_centre, self._data_centre_counts, whole=whole)
 
--- a/goldcreststair/components/fleet/dissemination.py
+++ b/goldcreststair/components/fleet/dissemination.py
@@ -61,9 +61,7 @@
         """
 
     def apply_unresponsive(self, unresponsive: AbstractSet[str]) -> None:
-        """Set the reachable daemons that keep their share of quotas, as their data centre is
-        silent.
-        """
+        """Set the reachable daemons of silent data centres; they keep their own share of quotas."""
 
     def apply_lost(self, lost_ms: Mapping[str, int]) -> None:
         """Apply which daemons the relays found lost, and for how long, in ms."""
--- a/goldcreststair/components/fleet/protocols.py
+++ b/goldcreststair/components/fleet/protocols.py
@@ -83,10 +83,10 @@
         """Return whether this daemon has contact with neither the store nor another daemon."""
 
     def read_contact_age_ms(self) -> int:
-        """Return the ms since the last contact with store or peers; 0 if there is no other daemon."""
+        """Return the ms since the last contact with store or peers; 0 without other daemons."""
 
     def read_all_seen_since(self) -> Millis:
-        """Return since when all responsive daemons have been seen; now if there is none."""
+        """Return the oldest last-seen time of all responsive daemons; now if there is none."""
 
     def is_lost(self, session: str, after_ms: int) -> bool:
         """Return whether a daemon has shown no sign of life for `after_ms`, in the store either."""
--- a/goldcreststair/components/fleet/relays.py
+++ b/goldcreststair/components/fleet/relays.py
@@ -94,9 +94,7 @@
         return self._own.session in self._list_ranked(self._own.data_centre)[:RELAYS]
 
     def list_targets(self) -> list[str]:
-        """Return the daemons that receive this daemon's beacons: the relays and the followed
-        daemon.
-        """
+        """Return the receivers of this daemon's beacons: the relays and the followed daemon."""
         ranked = self._list_ranked(self._own.data_centre)[:RELAYS]
         return ranked if self.followed in ranked or not self.followed else [*ranked, self.followed]
 
--- a/goldcreststair/components/fleet/service.py
+++ b/goldcreststair/components/fleet/service.py
@@ -197,12 +197,12 @@
         return self._controller.is_isolated()
 
     def read_contact_age_ms(self) -> int:
-        """Return the ms since the last contact with store or peers; 0 if there is no other daemon."""
+        """Return the ms since the last contact with store or peers; 0 without other daemons."""
         self._check_paused()
         return self._controller.read_contact_age_ms()
 
     def read_all_seen_since(self) -> Millis:
-        """Return since when all responsive daemons have been seen; now if there is none."""
+        """Return the oldest last-seen time of all responsive daemons; now if there is none."""
         return self._controller.read_all_seen_since()
 
     def is_lost(self, session: str, after_ms: int) -> bool:
@@ -372,9 +372,7 @@
         self.publish()
 
     def apply_unresponsive(self, unresponsive: AbstractSet[str]) -> None:
-        """Set the reachable daemons that keep their share of quotas, as their data centre is
-        silent.
-        """
+        """Set the reachable daemons of silent data centres; they keep their own share of quotas."""
         self._controller.apply_unresponsive(unresponsive)
 
     def apply_lost(self, lost_ms: Mapping[str, int]) -> None:
--- a/goldcreststair/components/fleet/session_heartbeat.py
+++ b/goldcreststair/components/fleet/session_heartbeat.py
@@ -136,7 +136,7 @@
         return same and vm.session != self._own.session
 
     async def _async_check_silent(self) -> None:
-        """Read heartbeats while a daemon is unresponsive, and remove the sessions of lost daemons."""
+        """Read heartbeats while a daemon is unresponsive, and remove sessions of lost daemons."""
         while True:
             await self._core.clock.async_sleep(HEARTBEAT_READ_MS)
             parts = frozenset(choose_part(vm) for vm in self._controller.list_unresponsive())
--- a/goldcreststair/components/fleet/sessions.py
+++ b/goldcreststair/components/fleet/sessions.py
@@ -35,7 +35,7 @@
 async def async_read_parts(
     store: RowStore, table: str, parts: Iterable[str] = PARTS
 ) -> Result[RowPage, PlatformError]:
-    """Return the session or heartbeat rows of some parts, as of the oldest of the parts' versions."""
+    """Return the session or heartbeat rows of some parts, as of the oldest version among them."""
     return await async_read_whole(store, [RowRange(table, part) for part in parts])
 
 
--- a/tests/components/fleet/test_controller.py
+++ b/tests/components/fleet/test_controller.py
@@ -1,4 +1,4 @@
-"""Who is heard, lost and gone, and whether this daemon is cut off."""
+"""Tests for which daemons are reachable, lost or gone, and whether this daemon is isolated."""
 
 from goldcreststair.components.fleet.const import (
     AGREEMENT_GRACE_MS,
@@ -18,7 +18,7 @@
 
 
 def make_controller(clock: ManualClock, *peers: str) -> FleetController:
-    """Return a controller that has just heard its peers."""
+    """Return a controller that has just received a beacon of each peer."""
     controller = FleetController(clock, make_vm("me"))
     controller.replace_sessions([make_vm(peer) for peer in peers])
     for peer in peers:
@@ -29,13 +29,13 @@
 def read_heartbeats(
     controller: FleetController, clock: ManualClock, ms: int, **beats: bytes
 ) -> None:
-    """Read heartbeat rows every 600 ms for so long."""
+    """Read the heartbeat rows every 600 ms for `ms`."""
     for _ in range(ms // 600):
         clock.advance(600)
         controller.apply_heartbeats(beats)
 
 
-def test_a_daemon_that_falls_silent_gets_no_callers() -> None:
+def test_silent_daemon_is_not_offered_to_callers() -> None:
     clock = ManualClock()
     controller = make_controller(clock, "a", "b")
     clock.advance(UNREACHABLE_MS)
@@ -45,7 +45,7 @@
     assert set(controller.read_fleet().vms) == {"me", "a", "b"}
 
 
-def test_a_silent_daemon_with_a_standing_heartbeat_is_lost_and_then_gone() -> None:
+def test_silent_daemon_with_unchanged_heartbeat_is_lost_then_expired() -> None:
     clock = ManualClock()
     controller = make_controller(clock, "a")
     read_heartbeats(controller, clock, LOST_MS + 1_200, a=b"7")
@@ -55,8 +55,8 @@
     assert controller.list_expired() == ["a"]
 
 
-def test_a_silent_daemon_whose_heartbeat_moves_is_alive() -> None:
-    """A daemon behind a cut served its callers while the others gave its part of the quotas away."""
+def test_silent_daemon_with_changing_heartbeat_is_not_lost() -> None:
+    """Guards against others spending the quota share of a partitioned daemon that still serves."""
     clock = ManualClock()
     controller = make_controller(clock, "a")
     for beat in range(20):
@@ -64,22 +64,22 @@
     assert controller.read_fleet().lost == frozenset()
 
 
-def test_without_the_store_nobody_is_lost() -> None:
+def test_no_daemon_is_lost_without_the_store() -> None:
     clock = ManualClock()
     controller = make_controller(clock, "a")
     clock.advance(60_000)
     assert controller.read_fleet().lost == frozenset() and controller.list_expired() == []
 
 
-def test_a_process_that_starts_again_takes_its_predecessors_place() -> None:
-    """After a restart the jobs of a VM stood still until its old session had expired."""
+def test_restarted_process_replaces_its_old_session() -> None:
+    """Guards against jobs of a restarted VM that wait until its old session has expired."""
     clock = ManualClock()
     controller = make_controller(clock, "a")
     controller.add(make_vm("a2", address="a"))
     assert set(controller.read_fleet().vms) == {"me", "a2"}
 
 
-def test_a_daemon_that_hears_nobody_is_isolated_before_the_others_take_it_for_lost() -> None:
+def test_daemon_without_contact_is_isolated_before_it_counts_as_lost() -> None:
     clock = ManualClock()
     controller = make_controller(clock, "a")
     controller.record_store_contact()
@@ -91,15 +91,15 @@
     assert not controller.is_isolated()
 
 
-def test_a_daemon_alone_is_never_isolated() -> None:
+def test_single_daemon_is_never_isolated() -> None:
     clock = ManualClock()
     controller = make_controller(clock)
     clock.advance(60_000)
     assert not controller.is_isolated()
 
 
-def test_a_daemon_that_stood_still_has_heard_nobody_and_blames_nobody() -> None:
-    """A VM woke from a freeze and took the jobs of all others for left behind."""
+def test_resumed_daemon_forgets_contacts_and_finds_nobody_lost() -> None:
+    """Guards against a resumed VM that regards the jobs of all other VMs as abandoned."""
     clock = ManualClock()
     controller = make_controller(clock, "a")
     controller.apply_heartbeats({"a": b"1"})
@@ -110,7 +110,7 @@
     assert controller.read_fleet().reachable == 1
 
 
-def test_daemons_that_hear_different_ones_do_not_agree_for_long() -> None:
+def test_different_responsive_sets_disagree_after_grace_period() -> None:
     clock = ManualClock()
     controller = make_controller(clock, "a", "b")
     same = controller.read_responsive_hash()
@@ -125,14 +125,14 @@
     assert controller.read_fleet().agreed
 
 
-def test_a_daemon_that_does_not_say_whom_it_hears_differs_from_nobody() -> None:
+def test_beacon_without_responsive_hash_is_no_disagreement() -> None:
     clock = ManualClock()
     controller = make_controller(clock, "a")
     clock.advance(AGREEMENT_GRACE_MS)
     assert controller.read_fleet().agreed
 
 
-def test_a_daemon_that_is_heard_but_not_known_counts_as_a_stranger() -> None:
+def test_sender_of_unknown_session_counts_as_unlisted() -> None:
     clock = ManualClock()
     controller = make_controller(clock, "a")
     assert not controller.apply_beacon("new", VmState.READY)
--- a/tests/components/fleet/test_relayed_fleet.py
+++ b/tests/components/fleet/test_relayed_fleet.py
@@ -1,4 +1,4 @@
-"""Large fleets, where relays sum up what daemons say."""
+"""Tests of large fleets, where relays aggregate beacons."""
 
 import pytest
 
@@ -21,13 +21,13 @@
 
 VMS = 60
 SETTLE_MS = 4_000
-NEWS_MS = 500
-"""A beacon, a digest between relays and one to all, each with its pause."""
+PROPAGATION_MS = 500
+"""Time for a beacon, a digest between relays and a digest to all, each with its pause."""
 CUSTOMER = {"name": "club", "rate_per_s": 2.0, "burst": 40.0}
 
 
 async def async_start(fleet: GatewayFleet, count: int = VMS) -> list[FleetMember]:
-    """Start a fleet and wait until all hear all."""
+    """Start a fleet and wait until all daemons reach each other."""
     fleet.write_catalogue(customers=(CUSTOMER,))
     fleet.add_engines(4)
     members = await fleet.async_add_many(count)
@@ -36,12 +36,12 @@
 
 
 def read_online(member: FleetMember, upstream: str = "e0") -> int:
-    """Return the online runs at an upstream that a daemon knows of."""
+    """Return the number of online runs at an upstream that a daemon counts."""
     return member.core.get(PLACEMENT).controller.runs.read_all(hash_name(upstream)).online
 
 
 def list_relays(members: list[FleetMember], data_centre: str) -> list[FleetMember]:
-    """Return the daemons of a data centre, those that relay first."""
+    """Return the daemons of a data centre in the order in which they become relays."""
     by_session = {member.core.session_id: member for member in members}
     vms = members[0].read(FLEET).vms.values()
     ranked = rank_relays([vm for vm in vms if vm.data_centre == data_centre])
@@ -49,15 +49,18 @@
 
 
 def admit(member: FleetMember) -> bool:
-    """Ask for one request of the customer; returns whether it was admitted."""
+    """Try to admit one request of the customer; returns whether it was admitted."""
     customer: CatalogueCustomer = member.read(CATALOGUE).customers["club"]
     return member.core.get(QUOTAS).admit(customer) is None
 
 
 @pytest.mark.parametrize("count", [30, 60, 90])
-def test_a_calm_daemon_sends_few_datagrams_however_large_the_fleet(count: int) -> None:
-    """With beacons to sixteen others at a time each daemon of a fleet of 195 took in 64 a second when calm and
-    several hundred in a burst, a third of all processor time, and heard each other one every few seconds.
+def test_idle_datagram_rate_does_not_grow_with_the_fleet(count: int) -> None:
+    """Guards against datagram traffic that grows with the fleet.
+
+    With beacons to sixteen other daemons each, a daemon of a fleet of 195 received 64 a second when
+    idle and several hundred in a burst, which took a third of all processor time, and received
+    those of each other daemon only every few seconds.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -70,9 +73,10 @@
     run_fleet(scenario)
 
 
-def test_a_run_is_known_to_all_and_counted_once() -> None:
-    """A daemon took its own run out of a digest that did not hold it yet, or left it in: the upstream looked
-    emptier or fuller to it than to all others, by one request for each that it had.
+def test_run_is_reported_to_all_and_counted_once() -> None:
+    """Guards against own runs subtracted from a digest without them, or left in one with them.
+
+    That daemon then counted too few or too many runs at the upstream, by one for each of its own.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -81,46 +85,49 @@
         for placement in placements[:3]:
             placement.begin("e0")
         assert read_online(members[0]) == 1
-        await fleet.clock.async_sleep(NEWS_MS)
+        await fleet.clock.async_sleep(PROPAGATION_MS)
         assert {read_online(member) for member in members} == {3}
         placements[0].end("e0")
         assert read_online(members[0]) == 2
-        await fleet.clock.async_sleep(NEWS_MS)
+        await fleet.clock.async_sleep(PROPAGATION_MS)
         assert {read_online(member) for member in members} == {2}
 
     run_fleet(scenario)
 
 
-def test_what_gives_way_adds_up_where_relays_tell_of_batch_runs() -> None:
-    """An online request meets a full upstream where ten daemons have a batch run each: were each of them to give
-    way, ten runs would be broken off for one slot.
+def test_one_batch_run_of_the_fleet_is_preempted_for_one_request() -> None:
+    """Guards against preempting one batch run at each daemon for a single slot.
+
+    An online request meets a full upstream where ten daemons have a batch run each.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
         members = await async_start(fleet)
-        yielded: list[int] = []
+        preempted: list[int] = []
         for member in members[:8]:
             placement = member.core.get(PLACEMENT)
 
-            def give_way(_: str, count: int, placement=placement) -> None:  # type: ignore[no-untyped-def]
-                yielded.append(count)
+            def preempt(_: str, count: int, placement=placement) -> None:  # type: ignore[no-untyped-def]
+                preempted.append(count)
                 placement.end("e0", Runs(batch=count))
 
-            placement.on_yield(give_way)
+            placement.on_yield(preempt)
             placement.begin("e0", Runs(batch=1))
-        await fleet.clock.async_sleep(NEWS_MS)
-        assert not yielded
+        await fleet.clock.async_sleep(PROPAGATION_MS)
+        assert not preempted
         members[-1].core.get(PLACEMENT).begin("e0")
-        await fleet.clock.async_sleep(2 * NEWS_MS)
-        assert sum(yielded) == 1
+        await fleet.clock.async_sleep(2 * PROPAGATION_MS)
+        assert sum(preempted) == 1
 
     run_fleet(scenario)
 
 
 @pytest.mark.parametrize("lost", [1, 2])
-def test_a_lost_relay_is_replaced_before_anyone_seems_silent(lost: int) -> None:
-    """The daemon that relays for a data centre loses power, alone or with the next one: its followers must go on
-    hearing all others, or callers are sent away and quotas fall to a sixtieth.
+def test_lost_relay_is_replaced_before_daemons_become_unreachable(lost: int) -> None:
+    """Guards against followers of a lost relay that lose reach of all other daemons.
+
+    The relay of a data centre loses power, alone or together with the next one. Without a quick
+    replacement, callers are sent away and quotas fall to a sixtieth.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -136,15 +143,16 @@
         assert least >= VMS - lost
         assert {member.read(FLEET).reachable for member in kept} == {VMS - lost}
         kept[0].core.get(PLACEMENT).begin("e0")
-        await fleet.clock.async_sleep(NEWS_MS)
+        await fleet.clock.async_sleep(PROPAGATION_MS)
         assert {read_online(member) for member in kept} == {1}
 
     run_fleet(scenario)
 
 
-def test_a_quota_holds_over_a_large_fleet() -> None:
-    """One customer asks every VM of a large fleet for far more than its rate. Counted from words that are
-    seconds old, each VM went on admitting while the others did.
+def test_quota_holds_over_a_large_fleet() -> None:
+    """Guards against VMs that admit by counters that are seconds old.
+
+    One customer sends every VM of a large fleet far more than its rate.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -160,8 +168,8 @@
     run_fleet(scenario)
 
 
-def test_a_customer_within_its_rate_is_not_refused() -> None:
-    """A customer's requests reach each of many VMs now and then; none of them is beyond its rate."""
+def test_customer_within_its_rate_is_not_refused() -> None:
+    """A customer's requests reach each of many VMs now and then, all within its rate."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         members = await async_start(fleet)
@@ -175,27 +183,29 @@
     run_fleet(scenario)
 
 
-def test_a_daemon_that_reaches_no_relay_keeps_to_its_part() -> None:
-    """A VM hears the relays' digests, but its beacons are lost: all others take its part of each quota for
-    spent, so that it must not spend theirs.
+def test_daemon_that_reaches_no_relay_keeps_to_its_quota_share() -> None:
+    """A VM receives the relays' digests, but its own beacons are lost.
+
+    All others count its share of each quota as spent, so that it must not spend theirs.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
         members = await async_start(fleet)
-        lone = list_relays(members, "dc1")[-1]
-        lone.datagrams.closed = True
+        unreachable = list_relays(members, "dc1")[-1]
+        unreachable.datagrams.closed = True
         await fleet.clock.async_sleep(2_500)
-        seen = lone.read(FLEET)
+        seen = unreachable.read(FLEET)
         assert seen.responsive == 1
-        others = [member.read(FLEET).reachable for member in members if member is not lone]
+        others = [member.read(FLEET).reachable for member in members if member is not unreachable]
         assert set(others) == {VMS - 1}
 
     run_fleet(scenario)
 
 
-def test_a_lost_daemon_is_known_to_all_while_few_read_heartbeats() -> None:
-    """One VM of a large fleet loses power: every other one read the heartbeats of all, twice a second each, until
-    it was taken off the list; its jobs wait for a new owner meanwhile.
+def test_lost_daemon_is_reported_to_all_while_few_read_heartbeats() -> None:
+    """Guards against all daemons reading all heartbeats, twice a second each, while one is lost.
+
+    One VM of a large fleet loses power. Its jobs wait for a new owner until it is known to be lost.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -205,8 +215,10 @@
         kept = [member for member in members if member is not gone]
         await fleet.async_kill(gone)
         before = fleet.store.reads[TABLE_HEARTBEATS]
-        # Its silence counts from the first reading of its heartbeat on.
-        await fleet.clock.async_sleep(UNREACHABLE_MS + HEARTBEAT_READ_MS + ADOPT_MS + NEWS_MS)
+        # Its silence is counted from the first read of its heartbeat.
+        await fleet.clock.async_sleep(
+            UNREACHABLE_MS + HEARTBEAT_READ_MS + ADOPT_MS + PROPAGATION_MS
+        )
         links = [member.core.get(FLEET_LINKS) for member in kept]
         assert all(each.is_lost(session, ADOPT_MS) for each in links)
         assert fleet.store.reads[TABLE_HEARTBEATS] - before < 100
@@ -216,18 +228,18 @@
     run_fleet(scenario)
 
 
-@pytest.mark.parametrize("turned_away", ["relays", "all but one"])
-def test_a_catalogue_reaches_daemons_that_the_store_turns_away(turned_away: str) -> None:
-    """An operator withdraws a key while the store turns away the relays of a data centre, or nearly every VM.
+@pytest.mark.parametrize("rejected", ["relays", "all but one"])
+def test_catalogue_reaches_daemons_without_store_access(rejected: str) -> None:
+    """An operator withdraws a key while the store rejects two relays, or nearly all VMs.
 
-    The word of a newer version comes with the digests, whose relay may not have it itself: without the name of
-    a daemon that has it, callers with the key would be served at those VMs until the store answers again.
+    A digest announces the newer version, but its relay may not have it: without the name of a
+    daemon that has it, those VMs would serve callers with the key until the store answers again.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
         members = await async_start(fleet)
         relays = list_relays(members, "dc1")
-        away = relays[:2] if turned_away == "relays" else members[:-1]
+        away = relays[:2] if rejected == "relays" else members[:-1]
         for member in away:
             member.view.cut = True
         await fleet.clock.async_sleep(500)
@@ -251,14 +263,14 @@
         b"\x09unknown",
     ],
 )
-def test_a_datagram_that_is_no_digest_changes_nothing(datagram: bytes) -> None:
-    """Another program's datagram, or half of one, arrives at a daemon's port."""
+def test_malformed_datagram_is_ignored(datagram: bytes) -> None:
+    """A datagram of another program, or a truncated one, arrives at a daemon's port."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         members = await async_start(fleet, 30)
         target = members[0].core.settings
         members[1].datagrams.send(target.address, target.peer_port, datagram)
-        await fleet.clock.async_sleep(NEWS_MS)
+        await fleet.clock.async_sleep(PROPAGATION_MS)
         assert members[0].read(FLEET).reachable == 30
 
     run_fleet(scenario)
--- a/tests/components/fleet/test_relays.py
+++ b/tests/components/fleet/test_relays.py
@@ -1,4 +1,4 @@
-"""Which relay a daemon follows."""
+"""Tests of which relay a daemon follows."""
 
 import pytest
 
@@ -18,83 +18,89 @@
 }
 OWN = VMS["s2"]
 RANKED = rank_relays([vm for vm in VMS.values() if vm.data_centre == OWN.data_centre])
-HEARD = VmState.READY
+STATE = VmState.READY
 
 
-def make_choice(clock: ManualClock) -> RelaySelector:
-    """Return the choice of a daemon that has run for a while."""
-    choice = RelaySelector(clock, OWN)
-    choice.replace_vms(VMS)
+def make_selector(clock: ManualClock) -> RelaySelector:
+    """Return the relay selector of a daemon that has run for a while."""
+    selector = RelaySelector(clock, OWN)
+    selector.replace_vms(VMS)
     clock.advance(2 * RELAY_SETTLE_MS)
-    return choice
+    return selector
 
 
-def play(
-    choice: RelaySelector, clock: ManualClock, ms: int, alive: set[str], heard: dict[str, VmState]
+def run_for(
+    selector: RelaySelector,
+    clock: ManualClock,
+    ms: int,
+    alive: set[str],
+    reachable: dict[str, VmState],
 ) -> None:
-    """Let time pass; the relays that are alive answer whoever follows them."""
+    """Advance the time; relays that are alive answer the daemons that follow them."""
     for _ in range(ms // TICK_MS):
         clock.advance(TICK_MS)
-        if choice.choose(heard) in alive:
-            choice.record_digest()
+        if selector.choose(reachable) in alive:
+            selector.record_digest()
 
 
 @pytest.mark.parametrize("gone", [0, 1, 2])
-def test_the_first_that_answers_is_followed(gone: int) -> None:
+def test_first_ranked_relay_that_answers_is_followed(gone: int) -> None:
     clock = ManualClock()
-    choice = make_choice(clock)
-    play(choice, clock, (gone + 1) * 2 * RELAY_FIRST_DIGEST_MS, set(RANKED[gone:]), {})
-    assert choice.followed == RANKED[gone]
+    selector = make_selector(clock)
+    run_for(selector, clock, (gone + 1) * 2 * RELAY_FIRST_DIGEST_MS, set(RANKED[gone:]), {})
+    assert selector.followed == RANKED[gone]
 
 
-def test_those_who_follow_one_that_hears_few_find_the_others() -> None:
-    """Ten seconds after a loss of all VMs some daemons heard eight or sixteen of 195, and refused their callers.
+def test_followers_of_a_relay_that_reaches_few_find_another() -> None:
+    """Guards against followers of a relay with few daemons that keep choosing among those few.
 
-    A session that ranked first was gone. When its silence showed, they turned to one of those that the relay
-    before had heard: the few that followed it.
+    Ten seconds after the loss of all VMs, some daemons reached eight or sixteen of 195 and refused
+    their callers. A session that ranked first was gone; when its silence showed, they chose one of
+    the daemons that the relay before had reached, which were the few that followed it.
     """
     clock = ManualClock()
-    choice = make_choice(clock)
-    few = {session: HEARD for session in RANKED[-4:]}
+    selector = make_selector(clock)
+    few = {session: STATE for session in RANKED[-4:]}
     alive = set(RANKED[1:])
-    choice.choose(few)
-    play(choice, clock, 2 * RELAY_EXCLUSION_MS + RELAY_SETTLE_MS, alive, few)
-    assert choice.followed == RANKED[1]
+    selector.choose(few)
+    run_for(selector, clock, 2 * RELAY_EXCLUSION_MS + RELAY_SETTLE_MS, alive, few)
+    assert selector.followed == RANKED[1]
 
 
-def test_one_that_has_just_started_is_not_followed_at_once() -> None:
-    """A VM that is replaced ranks first by chance: followed before it has heard the others, it makes the fleet
-    look empty to all.
+def test_relay_that_just_started_is_not_followed_at_once() -> None:
+    """Guards against following a relay that has not received the beacons of the others yet.
+
+    A VM that replaces another one may happen to rank first; its view makes the fleet look empty.
     """
     clock = ManualClock()
-    choice = RelaySelector(clock, OWN)
-    choice.replace_vms({s: vm for s, vm in VMS.items() if s != RANKED[0]})
-    heard = dict.fromkeys(VMS, HEARD)
-    play(choice, clock, 2 * RELAY_SETTLE_MS, set(VMS), heard)
-    assert choice.followed == RANKED[1]
-    choice.replace_vms(VMS)
-    play(choice, clock, RELAY_SETTLE_MS - TICK_MS, set(VMS), heard)
-    assert choice.followed == RANKED[1]
-    play(choice, clock, 2 * TICK_MS, set(VMS), heard)
-    assert choice.followed == RANKED[0]
-
-
-def test_one_that_leaves_is_left() -> None:
+    selector = RelaySelector(clock, OWN)
+    selector.replace_vms({s: vm for s, vm in VMS.items() if s != RANKED[0]})
+    reachable = dict.fromkeys(VMS, STATE)
+    run_for(selector, clock, 2 * RELAY_SETTLE_MS, set(VMS), reachable)
+    assert selector.followed == RANKED[1]
+    selector.replace_vms(VMS)
+    run_for(selector, clock, RELAY_SETTLE_MS - TICK_MS, set(VMS), reachable)
+    assert selector.followed == RANKED[1]
+    run_for(selector, clock, 2 * TICK_MS, set(VMS), reachable)
+    assert selector.followed == RANKED[0]
+
+
+def test_leaving_relay_is_replaced() -> None:
     clock = ManualClock()
-    choice = make_choice(clock)
-    heard = dict.fromkeys(VMS, HEARD)
-    play(choice, clock, RELAY_FIRST_DIGEST_MS, set(VMS), heard)
-    assert choice.followed == RANKED[0]
-    choice.choose(heard | {RANKED[0]: VmState.LEAVING})
-    assert choice.followed == RANKED[1]
+    selector = make_selector(clock)
+    reachable = dict.fromkeys(VMS, STATE)
+    run_for(selector, clock, RELAY_FIRST_DIGEST_MS, set(VMS), reachable)
+    assert selector.followed == RANKED[0]
+    selector.choose(reachable | {RANKED[0]: VmState.LEAVING})
+    assert selector.followed == RANKED[1]
 
 
-def test_another_data_centres_first_relays_are_told_beside_one_that_spoke() -> None:
-    """Guards against two data centres that keep each other's word with those whom nobody follows any more."""
+def test_remote_targets_include_first_ranked_relays() -> None:
+    """Guards against data centres that send digests only to relays that nobody follows any more."""
     others = rank_relays([vm for vm in VMS.values() if vm.data_centre != OWN.data_centre])
-    choice = make_choice(ManualClock())
+    selector = make_selector(ManualClock())
     transient = others[-1]
-    told = choice.list_remote_targets("dc1", transient, {transient: HEARD})
-    assert told == [transient, *others[:2]]
-    everyone = dict.fromkeys(VMS, HEARD)
-    assert choice.list_remote_targets("dc1", others[0], everyone) == others[:2]
+    targets = selector.list_remote_targets("dc1", transient, {transient: STATE})
+    assert targets == [transient, *others[:2]]
+    everyone = dict.fromkeys(VMS, STATE)
+    assert selector.list_remote_targets("dc1", others[0], everyone) == others[:2]
--- a/tests/components/fleet/test_return.py
+++ b/tests/components/fleet/test_return.py
@@ -1,4 +1,4 @@
-"""How soon daemons that start together hear each other."""
+"""Tests of how soon daemons that start together reach each other."""
 
 import pytest
 
@@ -9,13 +9,13 @@
 
 TRANSACTION_MS = 5
 """How long a part of the store takes for one transaction; others wait."""
-FOUND_MS = 1_000
+DISCOVERY_MS = 1_000
 IN_TIME_MS = 300
-"""A caller who came just before counts an answer after that as late."""
+"""A caller that sent its request just before counts an answer after this time as late."""
 
 
-async def async_return(fleet: GatewayFleet, vms: int) -> None:
-    """Start daemons, end all of them, and start them again at their addresses."""
+async def async_restart_fleet(fleet: GatewayFleet, vms: int) -> None:
+    """Start daemons, kill all of them, and start them again at their addresses."""
     fleet.store.faults.transaction_ms = TRANSACTION_MS
     fleet.add_engines(6)
     await fleet.async_add_many(vms)
@@ -29,11 +29,11 @@
 
 
 @pytest.mark.parametrize("vms", [11, 80])
-def test_a_fleet_that_returns_knows_its_quotas_before_waiting_callers_are_late(vms: int) -> None:
-    """Guards against callers who wait, or are refused for a quota, while sessions queue at the store."""
+def test_restarted_fleet_settles_quotas_in_time_for_waiting_callers(vms: int) -> None:
+    """Guards against callers that wait or are refused for a quota while sessions are written."""
 
     async def scenario(fleet: GatewayFleet) -> None:
-        await async_return(fleet, vms)
+        await async_restart_fleet(fleet, vms)
         await fleet.clock.async_sleep(IN_TIME_MS)
         settled = [
             len(member.read(FLEET).vms) > vms // 2 and not member.core.get(QUOTAS).is_settling()
@@ -44,15 +44,15 @@
     run_fleet(scenario)
 
 
-@pytest.mark.parametrize("look_ms", [7, 10, 20, 50])
-def test_relays_that_return_together_find_each_other(look_ms: int) -> None:
-    """Guards against data centres that for seconds hear only of the few who followed a relay for a moment."""
+@pytest.mark.parametrize("poll_ms", [7, 10, 20, 50])
+def test_restarted_relays_find_each_other(poll_ms: int) -> None:
+    """Guards against data centres that for seconds know only the few followers of an old relay."""
 
     async def scenario(fleet: GatewayFleet) -> None:
-        await async_return(fleet, 78)
+        await async_restart_fleet(fleet, 78)
         began = fleet.clock.now()
-        while fleet.clock.now() < began + FOUND_MS:
-            await fleet.clock.async_sleep(look_ms)
+        while fleet.clock.now() < began + DISCOVERY_MS:
+            await fleet.clock.async_sleep(poll_ms)
         assert {member.read(FLEET).reachable for member in fleet.members} == {78}
 
     run_fleet(scenario)
