--- a/goldcreststair/components/fleet/service.py
+++ b/goldcreststair/components/fleet/service.py
@@ -1,4 +1,4 @@
-"""Beacons between daemons, and this daemon's session in the store."""
+"""Sends and receives beacons, and publishes the fleet on the blackboard."""
 
 import asyncio
 import logging
@@ -12,15 +12,15 @@
 from goldcreststair.components.fleet.const import (
     BEACON_INTERVAL_MS,
     BEACON_MIN_GAP_MS,
+    PAUSE_THRESHOLD_MS,
     RELAYED_MIN_GAP_MS,
     RELAYED_TICK_MS,
-    STAND_STILL_MS,
     TABLE_SESSIONS,
     TICK_MS,
 )
 from goldcreststair.components.fleet.controller import (
     FleetController,
-    choose_feed_pause_ms,
+    choose_feed_delay_ms,
 )
 from goldcreststair.components.fleet.dissemination import RelayedLinks
 from goldcreststair.components.fleet.models import (
@@ -43,7 +43,7 @@
     DatagramKind,
     NoticeHandler,
 )
-from goldcreststair.components.fleet.session_heartbeat import SessionKeeper
+from goldcreststair.components.fleet.session_heartbeat import SessionHeartbeat
 from goldcreststair.components.fleet.sessions import PARTS, async_read_parts, decode_session
 from goldcreststair.gateway_core import GatewayCore
 from goldcreststair.store.feed import TableFeed
@@ -58,7 +58,7 @@
     """Implements `FleetLinks`."""
 
     def __init__(self, core: GatewayCore) -> None:
-        """Know only this daemon; nothing runs yet."""
+        """Start with this daemon only; nothing runs before `async_start`."""
         settings = core.settings
         self._core = core
         self._own = FleetVm(
@@ -77,81 +77,81 @@
             TABLE_SESSIONS,
             self,
             with_snapshot=True,
-            read_pause_ms=lambda: choose_feed_pause_ms(len(core.blackboard.read(FLEET).vms)),
+            read_pause_ms=lambda: choose_feed_delay_ms(len(core.blackboard.read(FLEET).vms)),
             parts=PARTS,
         )
         self._contributors: list[BeaconContributor] = []
-        self._watchers: list[BeaconListener] = []
-        self._gone_watchers: list[Callable[[str], None]] = []
+        self._beacon_listeners: list[BeaconListener] = []
+        self._gone_listeners: list[Callable[[str], None]] = []
         self._handlers: dict[int, NoticeHandler] = {}
-        """By the kind of datagram."""
+        """Handlers by the kind of datagram."""
         self._sequence = 0
-        self._heard: dict[str, int] = {}
+        self._sequences: dict[str, int] = {}
         self._sent_at = Millis(0)
-        self._expected_at = core.clock.now()
+        self._next_tick_at = core.clock.now()
         self._timer: TimerHandle | None = None
         self._tasks: list[asyncio.Task[None]] = []
         self._unsubscribe: Callable[[], None] = lambda: None
-        self._asks = PeerRequests(core)
-        self._with_store: set[str] = set()
+        self._peer_requests = PeerRequests(core)
+        self._with_store_access: set[str] = set()
         """Sessions whose last beacon said that the store answers them."""
-        self._keeper = SessionKeeper(core, self._own, self._controller, self)
-        self._relayed = RelayedLinks(core, self._own, self)
-        """In a fleet too large for beacons to all."""
+        self._session_heartbeat = SessionHeartbeat(core, self._own, self._controller, self)
+        self._relayed_links = RelayedLinks(core, self._own, self)
+        """Used in a fleet too large for beacons to all."""
 
     async def async_start(self) -> None:
-        """Announce this daemon and follow the others."""
-        self._expected_at = self._core.clock.now()
+        """Register this daemon and start to follow the others."""
+        self._next_tick_at = self._core.clock.now()
         board = self._core.blackboard
         self._unsubscribe = board.subscribe(OWN_STATE, self._on_own_state)
         await self._core.datagrams.async_listen(
             self._own.address, self._own.peer_port, self._on_datagram
         )
-        await self._asks.async_start()
+        await self._peer_requests.async_start()
         await self._feed.async_start()
         self._tasks = [
             asyncio.create_task(self._async_tick()),
         ]
-        self._keeper.start()
+        self._session_heartbeat.start()
 
     async def async_close(self) -> None:
-        """Take this daemon's session out of the store, if it answers, and stop."""
+        """Stop all tasks and close the sockets."""
         self._unsubscribe()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._tasks.clear()
-        await self._keeper.async_close()
+        await self._session_heartbeat.async_close()
         await self._feed.async_close()
-        await self._asks.async_close()
+        await self._peer_requests.async_close()
         if self._timer is not None:
             self._timer.cancel()
-        self._relayed.close()
+        self._relayed_links.close()
         self._core.datagrams.close()
 
     async def async_leave(self) -> None:
-        """Remove this daemon's rows, so that nobody waits for its silence."""
-        await self._keeper.async_leave()
+        """Remove this daemon's rows, so that others do not wait for its session to time out."""
+        await self._session_heartbeat.async_leave()
 
     def add_beacon_contributor(self, add_beacon_contributor: BeaconContributor) -> None:
-        """Add to every beacon from now on."""
+        """Register a callback that adds fields to every beacon."""
         self._contributors.append(add_beacon_contributor)
 
     def subscribe_beacons(self, on_beacon: BeaconListener, on_gone: Callable[[str], None]) -> None:
-        """Be told of every beacon that is news, and of each daemon that is gone."""
-        self._watchers.append(on_beacon)
-        self._gone_watchers.append(on_gone)
+        """Register callbacks for every new beacon and for each daemon that is gone."""
+        self._beacon_listeners.append(on_beacon)
+        self._gone_listeners.append(on_gone)
 
     def subscribe_batch_runs(self, on_batch: BatchRunsListener) -> None:
-        """In a large fleet, be told which daemons have batch runs where."""
-        self._relayed.subscribe_batch_runs(on_batch)
+        """Register a callback for the batch runs of other daemons; only called in a large fleet."""
+        self._relayed_links.subscribe_batch_runs(on_batch)
 
     def has_mesh(self) -> bool:
-        """Return whether all daemons tell each other; else relays do, and all is known later."""
+        """Return whether every daemon sends beacons to every other one."""
         return self._controller.has_mesh()
 
     def schedule_beacon(self) -> None:
-        """Send a beacon soon, as something changed that others act on."""
+        """Send a beacon soon, because something changed that other daemons act on."""
         if self._timer is not None:
             return
         gap_ms = BEACON_MIN_GAP_MS if self._controller.has_mesh() else RELAYED_MIN_GAP_MS
@@ -167,81 +167,82 @@
             self._core.datagrams.send(vm.address, vm.peer_port, datagram)
 
     def notify_by_hash(self, daemon: int, kind: DatagramKind, payload: bytes) -> None:
-        """Send one datagram to the daemon whose session has this hash."""
-        session = self._relayed.find_session(daemon)
+        """Send one datagram to the daemon whose session has this hash; it may be lost."""
+        session = self._relayed_links.find_session(daemon)
         if session:
             self.notify(session, kind, payload)
 
     def register_request_handler(self, kind: PeerRequestKind, handler: PeerRequestHandler) -> None:
-        """Answer the questions of one kind."""
-        self._asks.register_request_handler(kind, handler)
+        """Register the handler for requests of one kind."""
+        self._peer_requests.register_request_handler(kind, handler)
 
     async def async_request(
-        self, session: str, kind: PeerRequestKind, question: bytes, timeout_ms: int
+        self, session: str, kind: PeerRequestKind, payload: bytes, timeout_ms: int
     ) -> Result[bytes, PeerRequestError]:
-        """Ask one daemon over a connection of its own."""
-        return await self._asks.async_request(session, kind, question, timeout_ms)
+        """Send a request to one daemon over a separate connection and return the response."""
+        return await self._peer_requests.async_request(session, kind, payload, timeout_ms)
 
     def list_with_store_access(self) -> list[str]:
-        """Return the other daemons that are heard and whose store answers."""
+        """Return the other ready daemons that are reachable and have contact with the store."""
         states = self._core.blackboard.read(FLEET).states
-        return [s for s in states if s in self._with_store and states[s] is VmState.READY]
+        return [s for s in states if s in self._with_store_access and states[s] is VmState.READY]
 
     def register_notice_handler(self, kind: DatagramKind, handler: NoticeHandler) -> None:
-        """Handle the datagrams of one kind."""
+        """Register the handler for datagrams of one kind."""
         self._handlers[kind] = handler
 
     def is_isolated(self) -> bool:
-        """Return whether this daemon hears neither the store nor any other daemon."""
-        self._check_awake()
+        """Return whether this daemon has contact with neither the store nor another daemon."""
+        self._check_paused()
         return self._controller.is_isolated()
 
     def read_contact_age_ms(self) -> int:
-        """Return the ms since the store or another daemon was heard; 0 if there is no other."""
-        self._check_awake()
+        """Return the ms since the last contact with store or peers; 0 without other daemons."""
+        self._check_paused()
         return self._controller.read_contact_age_ms()
 
     def read_all_seen_since(self) -> Millis:
-        """Return since when every daemon that counts as heard has been heard; now if there is none."""
+        """Return the oldest last-seen time of all responsive daemons; now if there is none."""
         return self._controller.read_all_seen_since()
 
     def is_lost(self, session: str, after_ms: int) -> bool:
-        """Return whether a daemon has shown no sign of life for so long, the store included."""
+        """Return whether a daemon has shown no sign of life for `after_ms`, in the store either."""
         return self._controller.is_lost(session, after_ms)
 
     def is_registered(self) -> bool:
-        """Return whether this daemon's session stands in the store."""
-        return self._keeper.registered
+        """Return whether this daemon's session is in the store."""
+        return self._session_heartbeat.registered
 
     async def async_list_sessions(self) -> frozenset[str] | None:
-        """Return the sessions that stand in the store now, or None if it does not answer."""
+        """Return the sessions that are in the store now, or None if it does not answer."""
         read = await async_read_parts(self._core.adapter.store, TABLE_SESSIONS)
         if isinstance(read, Err):
             return None
         return frozenset(row.key.key for row in read.ok_value.rows)
 
     def record_store_contact(self) -> None:
-        """Note an answer of the store."""
+        """Record that the store answered."""
         self._controller.record_store_contact()
 
     def replace_all(self, rows: Sequence[StoredRow], version: Version) -> None:
-        """Take every session in the store."""
-        self._controller.take_rows(vm for row in rows if (vm := decode_session(row.value)))
+        """Replace all known sessions by those in the store."""
+        self._controller.replace_sessions(vm for row in rows if (vm := decode_session(row.value)))
         self.publish()
 
     def apply_changes(self, rows: Sequence[StoredRow]) -> None:
-        """Take sessions that came or went."""
+        """Apply sessions that were added to the store or removed."""
         for row in rows:
             if row.deleted:
-                # Taken for gone while it was cut off, this daemon lives: its session goes back.
-                self._keeper.note_removed(row.key.key)
+                # If this daemon's own session was removed while it was partitioned, the session is
+                # written again.
+                self._session_heartbeat.mark_removed(row.key.key)
                 self._controller.remove(row.key.key)
             elif vm := decode_session(row.value):
                 self._controller.add(vm)
         self.publish()
 
     def record_contact(self, *, reached: bool) -> None:
-        """Note whether the store answered."""
+        """Record whether the store answered."""
         if reached:
             self._controller.record_store_contact()
 
@@ -251,7 +252,7 @@
         self.schedule_beacon()
 
     def publish(self) -> None:
-        """Put the fleet as it stands now on the blackboard."""
+        """Write the current fleet to the blackboard."""
         before = self._core.blackboard.read(FLEET)
         fleet = self._controller.read_fleet()
         if fleet == before:
@@ -259,19 +260,20 @@
         self._section.write(fleet)
         log_changes(before, fleet)
         if fleet.vms.keys() != before.vms.keys():
-            self._relayed.take_vms(fleet.vms)
-            # Callers of a daemon that has just started wait until a relay tells it of the others.
-            if not (self._controller.has_mesh() or self._relayed.is_served()):
-                self._relayed.tick()
+            self._relayed_links.replace_vms(fleet.vms)
+            # Callers of a daemon that has just started wait until a relay has sent it the fleet
+            # view.
+            if not (self._controller.has_mesh() or self._relayed_links.has_fleet_view()):
+                self._relayed_links.tick()
                 self.schedule_beacon()
         if fleet.responsive != before.responsive and self._controller.has_mesh():
-            # Until the others know whom this daemon hears, their sets differ.
+            # The others' sets of responsive daemons differ from this one until they receive it.
             self.schedule_beacon()
         for session in before.vms.keys() - fleet.vms.keys():
-            self._heard.pop(session, None)
-            self._with_store.discard(session)
-            self._relayed.forget(session)
-            for on_gone in self._gone_watchers:
+            self._sequences.pop(session, None)
+            self._with_store_access.discard(session)
+            self._relayed_links.forget(session)
+            for on_gone in self._gone_listeners:
                 on_gone(session)
 
     def _send_beacon(self) -> None:
@@ -283,11 +285,11 @@
         beacon.store_away = self._core.store_contact.is_unavailable() or None
         mesh = self._controller.has_mesh()
         if mesh:
-            beacon.hears = self._controller.read_hears()
+            beacon.hears = self._controller.read_responsive_hash()
         for add_beacon_contributor in self._contributors:
             add_beacon_contributor(beacon)
         if not mesh:
-            self._relayed.send(beacon)
+            self._relayed_links.send(beacon)
             return
         datagram = bytes((DatagramKind.BEACON,)) + encode_struct(beacon)
         for session, vm in self._core.blackboard.read(FLEET).vms.items():
@@ -297,123 +299,127 @@
     def _on_datagram(self, datagram: bytes, _: str) -> None:
         if not datagram:
             return
-        self._check_awake()
+        self._check_paused()
         if datagram[0] == DatagramKind.BEACON:
-            self._take_beacon(datagram[1:])
+            self._apply_beacon(datagram[1:])
             return
         if datagram[0] == DatagramKind.DIGEST:
-            self._relayed.take_digest(datagram[1:])
+            self._relayed_links.apply_digest(datagram[1:])
             return
         handler = self._handlers.get(datagram[0])
         if handler is not None and len(datagram) > 2:
             end = 2 + datagram[1]
             handler(datagram[2:end].decode(errors="replace"), datagram[end:])
 
-    def _take_beacon(self, encoded: bytes) -> None:
+    def _apply_beacon(self, encoded: bytes) -> None:
         decoded = decode_struct(Beacon, encoded)
         if isinstance(decoded, Err):
             _LOGGER.warning("Beacon unreadable: %s", decoded.err_value.message)
             return
         beacon = decoded.ok_value
-        # Datagrams overtake each other: an older one would bring back runs that have ended.
-        if beacon.sequence <= self._heard.get(beacon.session, 0):
+        # Datagrams may arrive out of order: an older one would restore runs that have ended.
+        if beacon.sequence <= self._sequences.get(beacon.session, 0):
             return
         try:
             state = VmState(beacon.state)
         except ValueError:
             return
         before = self._core.blackboard.read(FLEET).states.get(beacon.session)
-        if not self._controller.hear(beacon.session, state, beacon.hears):
+        if not self._controller.apply_beacon(beacon.session, state, beacon.hears):
             return
-        self._heard[beacon.session] = beacon.sequence
+        self._sequences[beacon.session] = beacon.sequence
         if not self._controller.has_mesh():
-            # Told to all by the digests, this daemon's among them.
-            self._relayed.take_beacon(beacon.session, beacon)
+            # The digests carry it to all daemons, also those of this daemon.
+            self._relayed_links.apply_beacon(beacon.session, beacon)
             return
         if beacon.store_away:
-            self._with_store.discard(beacon.session)
+            self._with_store_access.discard(beacon.session)
         else:
-            self._with_store.add(beacon.session)
+            self._with_store_access.add(beacon.session)
         if before is not state:
             self.publish()
-        self._tell_watchers(beacon.session, beacon)
-
-    def reads_heartbeats(self) -> bool:
-        """Return whether this daemon looks after the heartbeats of silent ones."""
-        # One silent daemon would else have hundreds read all heartbeats, twice a second each. The relays
-        # tell the others who is lost; where none is followed, everyone looks for itself.
-        relayed = not self._controller.has_mesh() and self._relayed.is_served()
-        return not relayed or self._relayed.is_relay()
-
-    def _tell_watchers(self, session: str, beacon: Beacon) -> None:
-        for on_beacon in self._watchers:
+        self._notify_listeners(beacon.session, beacon)
+
+    def must_read_heartbeats(self) -> bool:
+        """Return whether this daemon checks the heartbeats of silent daemons."""
+        # Otherwise one silent daemon would make hundreds of daemons read all heartbeats, twice a
+        # second each. Relays report lost daemons to the others; a daemon without a relay checks by
+        # itself.
+        relayed = not self._controller.has_mesh() and self._relayed_links.has_fleet_view()
+        return not relayed or self._relayed_links.is_relay()
+
+    def _notify_listeners(self, session: str, beacon: Beacon) -> None:
+        for on_beacon in self._beacon_listeners:
             on_beacon(session, beacon)
 
-    def take_picture(self, relay: str, beacon: Beacon) -> None:
-        """Take what all other daemons say together, as one beacon of a relay."""
-        self._tell_watchers(relay, beacon)
+    def apply_fleet_view(self, relay: str, beacon: Beacon) -> None:
+        """Apply the aggregated state of all other daemons, as one beacon of a relay."""
+        self._notify_listeners(relay, beacon)
 
-    def note_relay(self) -> None:
-        """Take it that the relay hears the same daemons as before."""
-        self._controller.note_relay()
+    def renew_reachable(self) -> None:
+        """Extend the relay's last report: it still reaches the same daemons."""
+        self._controller.renew_reachable()
 
-    def take_heard(
-        self, heard: Mapping[str, VmState], with_store: AbstractSet[str], *, settled: bool
+    def apply_reachable(
+        self, reachable: Mapping[str, VmState], with_store: AbstractSet[str], *, settled: bool
     ) -> None:
-        """Take whom the relay hears; one that is not `settled` has not heard everyone yet."""
-        self._controller.take_heard(heard, settled=settled)
-        self._with_store = set(with_store) - {self._own.session}
+        """Apply the set of daemons that the relay reaches.
+
+        A relay that is not `settled` has not received all beacons yet.
+        """
+        self._controller.apply_reachable(reachable, settled=settled)
+        self._with_store_access = set(with_store) - {self._own.session}
         self.publish()
 
-    def take_quiet(self, quiet: AbstractSet[str]) -> None:
-        """Take which of the daemons heard keep their part of quotas, as little is heard of them."""
-        self._controller.take_quiet(quiet)
+    def apply_unresponsive(self, unresponsive: AbstractSet[str]) -> None:
+        """Set the reachable daemons of silent data centres; they keep their own share of quotas."""
+        self._controller.apply_unresponsive(unresponsive)
 
-    def take_lost(self, lost_ms: Mapping[str, int]) -> None:
-        """Take which daemons the relays know to be gone, and for how long."""
-        self._controller.take_lost(lost_ms)
+    def apply_lost(self, lost_ms: Mapping[str, int]) -> None:
+        """Apply which daemons the relays found lost, and for how long, in ms."""
+        self._controller.apply_lost(lost_ms)
 
     def list_lost(self) -> Mapping[str, int]:
-        """Return for how long those have been silent whose heartbeats stand still as well."""
+        """Return for how long daemons without changing heartbeats have been silent, in ms."""
         return self._controller.list_lost()
 
-    def note_unheard(self, *, unheard: bool) -> None:
-        """Take it whether no relay hears this daemon."""
-        self._controller.note_unheard(unheard=unheard)
+    def set_unreachable(self, *, unreachable: bool) -> None:
+        """Set whether no relay receives this daemon's beacons."""
+        self._controller.set_unreachable(unreachable=unreachable)
 
-    def drop_picture(self, relay: str) -> None:
-        """Forget what a relay said, as another one is followed."""
+    def drop_fleet_view(self, relay: str) -> None:
+        """Drop the view of a relay, as another one is followed."""
         if relay:
-            for on_gone in self._gone_watchers:
+            for on_gone in self._gone_listeners:
                 on_gone(relay)
 
     async def _async_tick(self) -> None:
         clock = self._core.clock
         while True:
-            self._check_awake()
+            self._check_paused()
             if clock.now() - self._sent_at >= BEACON_INTERVAL_MS - TICK_MS // 2:
                 self.schedule_beacon()
             self.publish()
             tick_ms = TICK_MS
             if not self._controller.has_mesh():
-                self._relayed.tick()
+                self._relayed_links.tick()
                 tick_ms = RELAYED_TICK_MS
-            self._expected_at = Millis(clock.now() + tick_ms)
+            self._next_tick_at = Millis(clock.now() + tick_ms)
             await clock.async_sleep(tick_ms)
 
-    def _check_awake(self) -> None:
-        """Void what this daemon believes if it stood still; called before each decision by age.
+    def _check_paused(self) -> None:
+        """Discard time-dependent state if this process was paused; called before decisions by age.
 
-        The first thing that a woken process handles may be a caller's request, or a beacon that
-        waited in its socket and makes old beliefs look fresh, and not the tick.
+        The first thing that a resumed process handles may be a caller's request instead of the
+        tick, or a beacon that waited in its socket and makes outdated state look recent.
         """
-        late_ms = self._core.clock.now() - self._expected_at
-        if late_ms <= STAND_STILL_MS:
+        late_ms = self._core.clock.now() - self._next_tick_at
+        if late_ms <= PAUSE_THRESHOLD_MS:
             return
-        self._expected_at = Millis(self._core.clock.now() + TICK_MS)
+        self._next_tick_at = Millis(self._core.clock.now() + TICK_MS)
         _LOGGER.warning("Stood still", extra={"stood_ms": late_ms})
-        # It has missed news: who lives, which keys were withdrawn, what others spent. Each belief
-        # counts again once it was heard again.
-        self._controller.void()
+        # The process missed which daemons are alive, which keys were withdrawn and what others
+        # admitted. Each piece of state is valid again once it has been received again.
+        self._controller.forget_contacts()
         for on_process_resumed in self._core.on_process_resumed:
             on_process_resumed(late_ms)
