--- a/tests/components/jobs/test_checkpoints.py
+++ b/tests/components/jobs/test_checkpoints.py
@@ -1,4 +1,4 @@
-"""Which progress of items is saved."""
+"""Selection of the progress that is saved."""
 
 import pytest
 
@@ -22,15 +22,15 @@
     [
         (ItemState.RUNNING, 20, 0, False, True),
         (ItemState.WAITING, 20, 0, False, True),
-        # Too few new events to be worth a row, unless the job moves.
+        # Too few new events to be worth a row, unless the job is handed over.
         (ItemState.RUNNING, 19, 0, False, False),
         (ItemState.RUNNING, 19, 0, True, True),
-        # A long answer is written whole each time, so it has to have grown by a fifth.
+        # A save writes the whole answer, so a long one must have grown by a fifth.
         (ItemState.RUNNING, 1_030, 1_000, False, False),
         (ItemState.RUNNING, 1_200, 1_000, False, True),
         (ItemState.RUNNING, 1_030, 1_000, True, True),
         (ItemState.RUNNING, 1_000, 1_000, True, False),
-        # Its result is on its way to the store.
+        # Its result is being committed, or is committed already.
         (ItemState.FINISHED, 100, 0, True, False),
         (ItemState.COMMITTED, 100, 0, True, False),
     ],
@@ -44,7 +44,7 @@
     assert [(each.last_event, each.text) for each in found] == [(last_event, b"one\ntwo")] * saved
 
 
-def test_an_answer_too_long_for_a_row_keeps_what_was_saved_before() -> None:
+def test_answer_too_long_for_a_row_keeps_its_last_save() -> None:
     item = ItemProgress(JobItem("i", "/", (), b"", 1), 0, state=ItemState.RUNNING)
     item.last_event, item.data = 50, [b"x" * (TEXT_PART_BYTES + 1)]
     assert list_unsaved(make_job(item), include_all=True) == []
--- a/tests/components/jobs/test_estimate.py
+++ b/tests/components/jobs/test_estimate.py
@@ -1,4 +1,4 @@
-"""How long items are expected to take."""
+"""Estimates of the time that items take."""
 
 import pytest
 
@@ -24,36 +24,36 @@
 
 
 @pytest.mark.parametrize(
-    ("learned", "heard", "remaining_ms"),
+    ("learned", "reported", "remaining_ms"),
     [
-        # Nobody has seen an answer: not known to take long, so that it may start.
+        # Without observations the estimate is short, so that the item may start.
         ([], None, FIRST_EVENT_MS + 5 * 30),
-        # The first answer counts in full, however far it is from the guess before it.
+        # The first answer counts in full, however far it is from the default.
         ([(200, 20)], None, FIRST_EVENT_MS + 200 * 20),
         ([(200, 20), (100, 10)], None, FIRST_EVENT_MS + 150 * 15),
-        # A daemon that has just started takes another one's word.
+        # A daemon without observations of its own uses another daemon's pace.
         ([], Pace(0.1, 20), FIRST_EVENT_MS + 200 * 20),
-        # What was seen here goes before it.
+        # Own observations take precedence over reported ones.
         ([(200, 20)], Pace(0.5, 90), FIRST_EVENT_MS + 200 * 20),
     ],
 )
-def test_what_an_item_takes_is_learned_by_route(
-    learned: list[tuple[int, int]], heard: Pace | None, remaining_ms: float
+def test_remaining_time_is_estimated_by_route(
+    learned: list[tuple[int, int]], reported: Pace | None, remaining_ms: float
 ) -> None:
     estimate = WorkEstimate()
     for events, event_ms in learned:
         estimate.learn(make_item(2_000, events), events, int(FIRST_EVENT_MS) + events * event_ms)
-    if heard is not None:
-        estimate.apply_reported(ROUTE, heard)
+    if reported is not None:
+        estimate.apply_reported(ROUTE, reported)
     assert estimate.estimate_remaining_ms(make_item(2_000)) == pytest.approx(remaining_ms)
     assert estimate.estimate_remaining_ms(make_item(2_000, route=OTHER)) == FIRST_EVENT_MS + 5 * 30
 
 
-def test_a_vm_that_just_started_does_not_take_jobs_for_late() -> None:
-    """A job lay for ten seconds at a VM that had slots for it, and was late.
+def test_without_observations_a_job_is_not_late() -> None:
+    """A job waited for ten seconds at a VM with free slots, and was late.
 
-    The VM had been replaced and took over the job. It had seen no answer yet, and by the guess that it
-    started from the items took three times as long as they do: too long for the time left.
+    The VM had just been replaced and had taken the job over. Without observations it used a default
+    estimate three times too long, and classified the items as late.
     """
     job = make_job("digest", 1, due_at=12_000)
     job.items[0] = make_item(3_800)
@@ -61,10 +61,11 @@
     assert not is_late(job, Millis(0), estimate.estimate_remaining_ms(job.items[0]))
 
 
-def test_daemons_tell_each_other_how_long_items_take() -> None:
-    """VMs were replaced in turn, and each new one learned anew how long items take.
+def test_daemons_share_their_estimates() -> None:
+    """New VMs of a rolling replacement did not know how long items take.
 
-    Until it had seen some end, it started items that could not be in time in place of others that could.
+    Until items had finished there, they started items that could not be in time before others that
+    could.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
--- a/tests/components/jobs/test_execution.py
+++ b/tests/components/jobs/test_execution.py
@@ -1,4 +1,4 @@
-"""Runs of items: started in free slots, given up to online work, and started again."""
+"""Runs of items: started in free slots, preempted for online requests, and resumed."""
 
 import asyncio
 from types import SimpleNamespace
@@ -25,7 +25,7 @@
 
 
 def make_job(name: str, items: int, due_at: int) -> OwnedJob:
-    """Return a job that this daemon runs."""
+    """Return a job that this daemon owns."""
     key = JobKey("club", name)
     record = JobRecord(key, "host", "/batch/", items, 0, "object")
     progress = [ItemProgress(JobItem(f"{name}{n}", "/", (), b"", 1), n) for n in range(items)]
@@ -34,7 +34,7 @@
 
 
 def estimate_remaining_ms(item: ItemProgress) -> float:
-    """Return 10 ms for each of 20 events that are still to come."""
+    """Return 10 ms for each remaining event, of 20 in total."""
     return (20 - item.last_event) * 10.0
 
 
@@ -42,15 +42,18 @@
     ("now", "begun", "expected"),
     [
         (0, [], ["soon0", "soon1", "later0"]),
-        # What has begun goes on first, so that in an overload some items are in time and not none.
+        # Items that have already run resume first, so that some items of an overload are in time
+        # instead of none.
         (0, ["later0"], ["later0", "soon0", "soon1"]),
-        # What cannot be in time any more waits for what can, begun or not.
+        # Items that can no longer be in time wait for those that can, whether they have run or not.
         (400, [], ["later0", "soon0", "soon1"]),
         (400, ["soon1"], ["soon1", "later0", "soon0"]),
         (600, ["soon1"], ["later0", "soon1", "soon0"]),
     ],
 )
-def test_items_go_by_what_can_be_in_time(now: int, begun: list[str], expected: list[str]) -> None:
+def test_items_that_can_be_in_time_start_first(
+    now: int, begun: list[str], expected: list[str]
+) -> None:
     book = JobRegistry()
     for job in (make_job("later", 1, 1_000), make_job("soon", 2, 500)):
         book.jobs[job.key] = job
@@ -64,7 +67,7 @@
     ("now", "expected"),
     [(0, ["soon0", "later1", "later0"]), (450, ["soon0", "later1", "later0"])],
 )
-def test_the_run_with_most_left_to_do_gives_way(now: int, expected: list[str]) -> None:
+def test_run_with_most_remaining_work_is_preempted_first(now: int, expected: list[str]) -> None:
     soon, later = make_job("soon", 1, 500), make_job("later", 2, 1_000)
     later.items[0].last_event, later.items[1].last_event = 7, 5
     soon.items[0].last_event = 3
@@ -78,12 +81,12 @@
     assert [run.item.item.item for run in chosen] == expected
 
 
-def test_a_run_that_gives_way_before_it_began_is_started_again() -> None:
-    """An item of an accepted job was never finished, although slots were free for the rest of the day.
+def test_run_preempted_before_its_first_step_is_restarted() -> None:
+    """An item of an accepted job never finished, although slots were free.
 
-    Its run was started and given up in the same turn of the loop, as an online request came at that
-    moment: a task that is cancelled before its first step runs none of its code, so that the item stayed
-    marked as running and its slot as taken.
+    Its run was started and preempted in the same turn of the event loop. A task cancelled before
+    its first step runs none of its code, so the item stayed marked as running and its slot as
+    taken.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -104,8 +107,8 @@
     run_fleet(scenario)
 
 
-def test_of_equal_runs_those_that_began_first_give_way() -> None:
-    """Of runs with as much left to do, where they lay in memory chose who gave way."""
+def test_equal_runs_are_preempted_in_start_order() -> None:
+    """Between runs with equal remaining work, memory addresses decided which one was preempted."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         (engine,) = fleet.add_engines(1)
@@ -128,27 +131,27 @@
 
 
 @pytest.mark.parametrize(
-    ("engines_of_other", "picture"),
-    # With a picture that all share, each service has a part of its own.
+    ("other_engines", "sequence"),
+    # With a digest shared by all daemons, each service has a start allowance of its own.
     [(0, None), (1, None), (0, 1)],
 )
-def test_items_start_beside_those_whose_service_is_full(
-    engines_of_other: int, picture: int | None
+def test_full_service_does_not_block_items_of_other_services(
+    other_engines: int, sequence: int | None
 ) -> None:
-    """A job lay beside free slots: an older one, of a service without any, stood before it."""
+    """A job waited beside free slots because an older job's service had none."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         batch = next(route for route in DEFAULT_ROUTES if route["prefix"] == "/batch/")
         other = {**batch, "prefix": "/batch/other/", "service": "other"}
         fleet.write_catalogue(routes=(*DEFAULT_ROUTES, other))
         fleet.add_engines(1)
-        for engine in fleet.add_engines(engines_of_other):
+        for engine in fleet.add_engines(other_engines):
             engine.service, engine.slots = "other", 2
             fleet.register(engine)
         fleet.engines.events_of = {f"other/job-{n}": 1_000 for n in range(5)}
         (member,) = await fleet.async_add_many(1)
         await fleet.clock.async_sleep(1_000)
-        member.core.get(PLACEMENT).controller.picture = picture
+        member.core.get(PLACEMENT).controller.picture = sequence
         assert (await async_submit(fleet, member, "other/job", 5)).accepted
         await fleet.clock.async_sleep(200)
         assert (await async_submit(fleet, member, "digest", 5)).accepted
@@ -158,11 +161,12 @@
     run_fleet(scenario)
 
 
-def test_batch_gives_way_to_a_burst_and_goes_on_after_it() -> None:
-    """Members' requests met engines full of digest items and waited behind them.
+def test_batch_is_preempted_by_a_burst_and_resumes_after_it() -> None:
+    """Online requests met engines full of batch items and waited behind them.
 
-    Engines know no priority. A burst that needs every slot finds a free one within the time of a beacon
-    and of a closed connection; each item then goes on after its last event and is whole once.
+    Engines have no priorities. A burst that needs every slot must find them free within the time of
+    a beacon and of closing a connection; each preempted item then resumes after its last event, and
+    its text is complete without duplicates.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -183,18 +187,18 @@
         texts = {result.item: result.text for result in page.results}
         assert texts == {f"digest-{n}": make_text(f"digest-{n}", 150) for n in range(14)}
         resumed = [call for engine in engines for call in engine.ran if call.resume_after]
-        assert resumed, "items went on where they had been stopped"
+        assert resumed, "preempted items resume after their last event"
 
     run_fleet(scenario)
 
 
 @pytest.mark.parametrize(
     ("first_ms", "event_ms"),
-    # Upstreams that are slow to begin, and upstreams that are slow all the while.
+    # Upstreams that are slow to send the first event, and upstreams that are slow throughout.
     [(3_000, 30), (40, 1_000)],
 )
-def test_an_item_of_a_slow_upstream_ends(first_ms: int, event_ms: int) -> None:
-    """Each run of an item was given up as silent, and the next one at an upstream that was as slow."""
+def test_item_at_slow_upstreams_finishes(first_ms: int, event_ms: int) -> None:
+    """Every run of an item was aborted as silent, and the next upstream was just as slow."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = fleet.add_engines(2)
@@ -212,7 +216,7 @@
     run_fleet(scenario)
 
 
-def test_items_of_a_route_that_is_gone_are_given_up() -> None:
+def test_items_of_a_removed_route_are_given_up() -> None:
     async def scenario(fleet: GatewayFleet) -> None:
         (member,) = await fleet.async_add_many(1)
         await fleet.clock.async_sleep(1_000)
@@ -227,8 +231,11 @@
     run_fleet(scenario)
 
 
-def test_a_piece_that_comes_after_its_run_gave_way_is_dropped() -> None:
-    """Guards against a text that goes on after an event which the next run was not asked to follow."""
+def test_data_that_arrives_after_preemption_is_dropped() -> None:
+    """Data that arrived after preemption corrupted the item's text.
+
+    It moved the item past the event after which its next run had been asked to resume.
+    """
 
     async def scenario(fleet: GatewayFleet) -> None:
         (engine,) = fleet.add_engines(1)
--- a/tests/components/jobs/test_ownership.py
+++ b/tests/components/jobs/test_ownership.py
@@ -1,4 +1,4 @@
-"""Jobs of owners that are lost, leave, or hear of an end too early."""
+"""Jobs whose owner is lost or leaves, and jobs that end during a takeover."""
 
 import asyncio
 
@@ -17,11 +17,11 @@
 from tests.helpers.gateways import CUSTOMER, async_read, async_submit, run_fleet
 
 
-def test_a_job_of_a_killed_owner_is_finished_by_another() -> None:
-    """A digest job was accepted and its VM lost power right after.
+def test_job_of_a_killed_owner_is_finished_by_another_daemon() -> None:
+    """A VM lost power right after it had accepted a job.
 
-    Its items must be finished all the same: another daemon reads the open job, takes it over, and every
-    daemon shows the same results.
+    Another daemon must take the job over and finish its items, and all daemons must return the same
+    results.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -41,11 +41,11 @@
     run_fleet(scenario)
 
 
-def test_a_job_that_ends_while_it_is_taken_over_does_not_run() -> None:
-    """A caller ended its job, was told so, and items of it ran seconds later.
+def test_job_that_ends_during_a_takeover_does_not_run() -> None:
+    """Items of a job ran seconds after its caller was told that it had ended.
 
-    Its first owner was lost and another daemon was reading the job's items when the end came: the news
-    met a daemon that did not run the job yet, and it began to afterwards.
+    The job's owner was lost, and the daemon taking over was still loading the job when the end was
+    reported; it ignored the end and ran the items afterwards.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -53,7 +53,7 @@
         await fleet.clock.async_sleep(1_000)
         assert (await async_submit(fleet, first, "digest", 5)).accepted
         await fleet.async_kill(first)
-        # The object of its items takes longer to read than the end takes.
+        # Loading the job's items takes longer than ending the job.
         fleet.store.faults.slow_objects_ms = 300
         key = JobKey(CUSTOMER, "digest")
         owners = [member.core.get(JOBS) for member in (second, third)]
@@ -67,10 +67,11 @@
     run_fleet(scenario)
 
 
-def test_a_leaving_owner_hands_its_jobs_over() -> None:
-    """A VM was stopped as planned while it ran a job whose items take longer than its grace.
+def test_leaving_owner_hands_its_jobs_over() -> None:
+    """A VM is stopped as planned while it runs a job whose items take longer than its grace period.
 
-    What runs may end; the rest must go on elsewhere at once and not wait until the VM counts as lost.
+    Current runs may finish; the rest must continue elsewhere at once, without waiting until the VM
+    counts as lost.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -93,13 +94,13 @@
 
 
 def find_owners(fleet: GatewayFleet, job: str) -> list[FleetMember]:
-    """Return the daemons that run a job, or read it from the store to run it."""
+    """Return the daemons that run a job, or are loading it to run it."""
     key = JobKey(CUSTOMER, job)
     return [member for member in fleet.members if member.core.get(JOBS).owns(key)]
 
 
-def test_a_job_accepted_while_its_daemon_begins_to_leave_is_handed_over() -> None:
-    """A job that was being accepted when SIGTERM came lay at its daemon until that ended."""
+def test_job_accepted_during_the_start_of_a_leave_is_handed_over() -> None:
+    """A job whose acceptance was in progress at SIGTERM stayed at its daemon until that exited."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         first, second = await fleet.async_add_many(2)
@@ -115,8 +116,8 @@
     run_fleet(scenario)
 
 
-def test_a_job_taken_over_while_its_daemon_begins_to_leave_is_handed_over() -> None:
-    """A job that was being read from the store when SIGTERM came lay at its daemon until that ended."""
+def test_job_loaded_during_the_start_of_a_leave_is_handed_over() -> None:
+    """A job that was being loaded at SIGTERM stayed at its daemon until that exited."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         first, *others = await fleet.async_add_many(3)
@@ -133,8 +134,8 @@
     run_fleet(scenario)
 
 
-def test_a_job_handed_to_a_daemon_that_leaves_as_well_is_handed_on() -> None:
-    """A job lay for seconds with a daemon that was sent SIGTERM in the same moment as its owner."""
+def test_job_handed_over_to_a_leaving_daemon_is_handed_on() -> None:
+    """A job stayed for seconds with a daemon that got SIGTERM at the same moment as its owner."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         first, second, third = await fleet.async_add_many(3)
@@ -149,8 +150,11 @@
 
 
 @pytest.mark.parametrize("planned", [True, False])
-def test_a_job_goes_to_an_owner_that_the_store_answers(planned: bool) -> None:
-    """Jobs lay for seconds with daemons that the store turned away: none of them could read its items."""
+def test_new_owner_can_reach_the_store(planned: bool) -> None:
+    """Jobs stayed for seconds with daemons that the store rejected.
+
+    Those daemons could not load the items.
+    """
 
     async def scenario(fleet: GatewayFleet) -> None:
         first, second, third = await fleet.async_add_many(3)
@@ -170,18 +174,21 @@
     run_fleet(scenario)
 
 
-def name_job(wanted: FleetMember, other: FleetMember) -> str:
-    """Return the name of a job that one daemon would own sooner than another."""
+def name_job(preferred: FleetMember, other: FleetMember) -> str:
+    """Return the name of a job for which one daemon ranks higher as owner than another."""
 
     def rank(member: FleetMember, job: str) -> int:
         return score(member.core.session_id, CUSTOMER, job)
 
     names = map(str, range(100))
-    return next(name for name in names if rank(wanted, name) > rank(other, name))
+    return next(name for name in names if rank(preferred, name) > rank(other, name))
 
 
-def test_a_job_handed_over_by_a_change_whose_answer_was_lost_runs_on() -> None:
-    """A leaving owner kept a job that the store had given to another, who was not told of it."""
+def test_handover_whose_answer_was_lost_still_takes_effect() -> None:
+    """A leaving owner kept a job that the store had assigned to another daemon.
+
+    The answer to the change was lost, and the new owner was not notified.
+    """
 
     async def scenario(fleet: GatewayFleet) -> None:
         first, second = await fleet.async_add_many(2)
@@ -194,8 +201,11 @@
     run_fleet(scenario)
 
 
-def test_a_job_of_a_new_route_outlives_an_owner_that_does_not_know_it_yet() -> None:
-    """Items were given up: their next owner had not heard of the version that brought their route."""
+def test_job_of_a_new_route_survives_an_owner_with_an_older_catalogue() -> None:
+    """Items were given up because their next owner did not know their route.
+
+    It had not yet received the catalogue version that adds the route.
+    """
 
     async def scenario(fleet: GatewayFleet) -> None:
         fleet.add_engines(1)
@@ -219,16 +229,19 @@
 
 
 def list_first_events(fleet: GatewayFleet, since: int) -> dict[str, int]:
-    """Return after which event each item's last run went on, for runs begun after `since` calls."""
+    """Return the event after which each item's last run resumed.
+
+    Only runs after the first `since` calls of each engine are considered.
+    """
     calls = [call for engine in fleet.engines.by_address.values() for call in engine.ran[since:]]
     return {call.request_id: call.resume_after for call in calls}
 
 
-def test_a_killed_owners_items_go_on_where_they_were() -> None:
-    """All items of a job were late: their VM lost power when each had four of its five seconds done.
+def test_items_of_a_killed_owner_resume_from_saved_progress() -> None:
+    """All items of a job were late after their VM lost power with four of five seconds done.
 
-    What a run had brought was known to its owner only. The next owner ran every item from its first
-    event on, in slots that other jobs needed to be in time.
+    The progress was known to the lost owner only. The next owner ran every item from its first
+    event, in slots that other jobs needed to be in time.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -243,7 +256,7 @@
         await fleet.clock.async_sleep(9_000)
         resumed = list_first_events(fleet, before)
         assert len(resumed) == 5
-        # 30 ms an event, and a save each second: of some 130 events 40 at most are run again.
+        # At 30 ms per event and one save per second, at most 40 of about 130 events are repeated.
         assert min(resumed.values()) >= 90, resumed
         page = await async_read(second, "digest")
         texts = {result.item: result.text for result in page.results}
@@ -253,11 +266,12 @@
     run_fleet(scenario)
 
 
-def test_a_leaving_owners_items_go_on_where_they_were() -> None:
-    """VMs were replaced in turn, and jobs whose owner left were late although slots were free.
+def test_items_of_a_leaving_owner_resume_from_handed_over_progress() -> None:
+    """Jobs were late after a rolling replacement of VMs, although slots were free.
 
-    A burst took the slots of the leaving VM's runs; it starts nothing more, and the job stayed there
-    until its last run had ended. Then its items began anew at the next owner.
+    A burst took the slots of a leaving VM's runs. The VM starts no more items, so the job was stuck
+    there until its last run had ended, and its items then restarted from the beginning at the next
+    owner.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -281,11 +295,11 @@
     run_fleet(scenario)
 
 
-def test_progress_of_a_job_that_ended_is_not_saved_any_more() -> None:
-    """Rows of a job that its caller had ended stayed in the store for good.
+def test_progress_of_an_ended_job_is_not_saved() -> None:
+    """Rows of an ended job stayed in the store forever.
 
-    Its owner was about to save the progress of its items when the end came: a save that is made after the
-    end, or after the job went to another owner, would write rows that nobody removes any more.
+    Its owner saved progress after the job had ended or had another owner, and nothing removes rows
+    that are written then.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -311,10 +325,10 @@
     run_fleet(scenario)
 
 
-def test_jobs_go_on_soon_after_all_vms_have_returned() -> None:
-    """All VMs lost power for a second, and no item ran for two seconds after their return.
+def test_jobs_resume_soon_after_all_vms_return() -> None:
+    """After all VMs lost power for a second, no item ran for two seconds.
 
-    Jobs without an owner were looked for every 1.5 s, counted from each VM's start; the jobs of several
+    Sweeps for jobs without an owner ran every 1.5 s, counted from each VM's start; jobs of several
     customers were late by less than that.
     """
 
--- a/tests/components/jobs/test_result_writer.py
+++ b/tests/components/jobs/test_result_writer.py
@@ -1,4 +1,4 @@
-"""Results on their way into the store."""
+"""Commits of results to the store."""
 
 import asyncio
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 class SlowRecords(JobRecords):
-    """Lists results when the test says so."""
+    """Commits results when the test allows it."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -28,8 +28,11 @@
         return Ok(listing.after)
 
 
-def test_a_result_that_comes_as_a_listing_ends_is_listed() -> None:
-    """The last item of a job was whole and never listed: it ended in the turn in which a listing did."""
+def test_result_that_arrives_as_a_commit_ends_is_committed() -> None:
+    """A job's last result was never committed.
+
+    It arrived in the turn of the event loop in which a commit ended.
+    """
 
     async def scenario(fleet: GatewayFleet) -> None:
         (member,) = await fleet.async_add_many(1)
@@ -40,7 +43,7 @@
         finish(writer, job, 0)
         await fleet.async_wait(lambda: len(records.answers) == 1, 100)
         records.answers[0].set_result(None)
-        # It runs right after the step in which the listing goes on to its end.
+        # This callback runs right after the step in which the commit ends.
         asyncio.get_running_loop().call_soon(finish, writer, job, 1)
         await fleet.async_wait(lambda: len(records.answers) == 2, 100)
         records.answers[1].set_result(None)
@@ -50,8 +53,11 @@
     run_fleet(scenario)
 
 
-def test_a_job_that_comes_back_is_listed_beside_its_former_self() -> None:
-    """A job was taken over again while a listing of its first stay hung: its last result was left to that."""
+def test_job_taken_over_again_is_independent_of_earlier_commits() -> None:
+    """The last result of a job that was taken over again was not committed.
+
+    A commit of the job's earlier ownership was still pending, and the result was left to that.
+    """
 
     async def scenario(fleet: GatewayFleet) -> None:
         (member,) = await fleet.async_add_many(1)
@@ -72,7 +78,7 @@
 
 
 def finish(writer: ResultWriter, job: OwnedJob, number: int) -> None:
-    """End an item of a job."""
+    """Finish an item of a job."""
     item = job.items[number]
     item.state = ItemState.FINISHED
     job.finished.append((item, ItemResult(item.item.item, done=True)))
@@ -80,5 +86,5 @@
 
 
 def list_states(job: OwnedJob) -> list[ItemState]:
-    """Return how far the items of a job are."""
+    """Return the states of a job's items."""
     return [item.state for item in job.items]
--- a/tests/components/jobs/test_router.py
+++ b/tests/components/jobs/test_router.py
@@ -1,4 +1,4 @@
-"""Calls about jobs at a VM that the store turns away, or that leaves."""
+"""Calls about jobs at a VM that the store rejects, or that leaves."""
 
 import pytest
 
@@ -12,24 +12,24 @@
 KEY = JobKey(CUSTOMER, "digest")
 
 
-async def async_turn_away(fleet: GatewayFleet, member: FleetMember) -> None:
-    """Let the store turn a VM away, and wait until the VM knows."""
+async def async_reject(fleet: GatewayFleet, member: FleetMember) -> None:
+    """Let the store reject a VM, and wait until the VM has noticed."""
     member.view.cut = True
     await fleet.clock.async_sleep(1_500)
 
 
 async def async_leave(fleet: GatewayFleet, member: FleetMember) -> None:
-    """Let a VM leave."""
+    """Start a planned leave of a VM."""
     member.core.get(ENTRY).leave()
     await fleet.clock.async_sleep(100)
 
 
-@pytest.mark.parametrize("trouble", [async_turn_away, async_leave])
-def test_a_job_is_accepted_by_another_daemon(trouble) -> None:  # type: ignore[no-untyped-def]
-    """A digest job reached a VM that the store turned away, and missed its slot.
+@pytest.mark.parametrize("trouble", [async_reject, async_leave])
+def test_job_is_accepted_by_another_daemon(trouble) -> None:  # type: ignore[no-untyped-def]
+    """A job reached a VM that the store rejected, and missed its due time.
 
-    The VM waited for the store until the caller had given it up. Another daemon, whose store answers,
-    accepts it at once, and the caller never knows.
+    The VM waited for the store until the caller gave up. Another daemon that can reach the store
+    must accept the job at once, unnoticed by the caller.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -48,17 +48,17 @@
     run_fleet(scenario)
 
 
-def test_reads_bodies_and_ends_reach_the_job_from_a_vm_without_the_store() -> None:
+def test_calls_at_a_vm_without_the_store_reach_the_job() -> None:
     async def scenario(fleet: GatewayFleet) -> None:
         first, second = await fleet.async_add_many(2)
         await fleet.clock.async_sleep(1_000)
         assert (await async_submit(fleet, second, "digest", 2)).accepted
-        await async_turn_away(fleet, first)
-        front = first.core.get(JOB_ROUTER)
-        assert (await front.async_read_body(KEY, "digest-1")).unwrap() == b"digest-1"
-        missing = await front.async_read_results(JobKey(CUSTOMER, "other"), 0, 0)
+        await async_reject(fleet, first)
+        router = first.core.get(JOB_ROUTER)
+        assert (await router.async_read_body(KEY, "digest-1")).unwrap() == b"digest-1"
+        missing = await router.async_read_results(JobKey(CUSTOMER, "other"), 0, 0)
         assert missing.unwrap_err().problem.value == "missing"
-        assert (await front.async_end(KEY)).is_ok()
+        assert (await router.async_end(KEY)).is_ok()
         fleet.add_engines(1)
         await fleet.clock.async_sleep(3_000)
         (engine,) = fleet.engines.by_address.values()
@@ -67,10 +67,10 @@
     run_fleet(scenario)
 
 
-def test_with_the_store_away_everywhere_a_job_is_refused_at_once() -> None:
-    """A submission hung for seconds and was refused in the end.
+def test_job_is_refused_at_once_if_no_daemon_can_reach_the_store() -> None:
+    """A submission hung for seconds before it was refused.
 
-    What cannot be kept anywhere is refused at once, as not run, with a time to come back.
+    A job that no daemon can store must be refused at once, as not run and with a retry delay.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
--- a/tests/components/jobs/test_sweep_assignments.py
+++ b/tests/components/jobs/test_sweep_assignments.py
@@ -1,4 +1,4 @@
-"""Which daemon looks after the jobs of which customer."""
+"""Assignment of customers to the daemons that sweep their jobs."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 def rank_all(sessions: set[str], customers: frozenset[str], session: str) -> list[str]:
-    """Return the customers of a daemon, each ranked with every daemon."""
+    """Return the customers of a daemon, each ranked against every daemon."""
     return sorted(
         customer
         for customer in customers
@@ -22,23 +22,24 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_changes_lead_to_the_same_as_ranking_all(seed: int) -> None:
+def test_incremental_updates_equal_a_full_ranking(seed: int) -> None:
     chance = random.Random(seed)
-    found, sessions = SweepAssignments(), set(SESSIONS[:30])
+    assignments, sessions = SweepAssignments(), set(SESSIONS[:30])
     customers = CUSTOMERS
     for _ in range(30):
         sessions = {s for s in sessions if chance.random() > 0.05}
         sessions |= set(chance.sample(SESSIONS, chance.randrange(3)))
         customers = frozenset(c for c in CUSTOMERS if chance.random() > 0.1)
-        found.update(sessions, customers)
+        assignments.update(sessions, customers)
         for session in SESSIONS:
-            assert found.list_customers(session) == rank_all(sessions, customers, session)
+            assert assignments.list_customers(session) == rank_all(sessions, customers, session)
 
 
-def test_a_replaced_daemon_costs_what_it_touches(monkeypatch: pytest.MonkeyPatch) -> None:
-    """All VMs of a large fleet are replaced in turn: the day took more processor time than it may.
+def test_replaced_daemon_costs_less_than_a_full_ranking(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Rolling replacement of a large fleet used more processor time than allowed.
 
-    At each look every daemon ranked every customer with every daemon anew, as one had come or gone.
+    The set of daemons changed before every sweep, and every daemon ranked every customer against
+    every daemon again.
     """
     ranked = 0
 
@@ -48,15 +49,15 @@
         return score(*parts)
 
     monkeypatch.setattr(sweep_assignments, "score", count)
-    found = SweepAssignments()
-    found.update(set(SESSIONS[:50]), CUSTOMERS)
+    assignments = SweepAssignments()
+    assignments.update(set(SESSIONS[:50]), CUSTOMERS)
     first, ranked = ranked, 0
     for number in range(10):
-        found.update(set(SESSIONS[number + 1 : number + 51]), CUSTOMERS)
+        assignments.update(set(SESSIONS[number + 1 : number + 51]), CUSTOMERS)
     assert ranked / 10 < first / 10
 
 
-def test_a_fleet_without_daemons_looks_after_nobody() -> None:
-    found = SweepAssignments()
-    found.update(set(), CUSTOMERS)
-    assert found.list_customers("session0") == []
+def test_without_daemons_no_customer_is_assigned() -> None:
+    assignments = SweepAssignments()
+    assignments.update(set(), CUSTOMERS)
+    assert assignments.list_customers("session0") == []
