--- a/goldcreststair/components/jobs/codec.py
+++ b/goldcreststair/components/jobs/codec.py
@@ -27,7 +27,7 @@
 
 def encode_items(items: Iterable[JobItem]) -> bytes:
     """Encode the items of a job as an object."""
-    bodies = [ItemBody(i.item, i.path, dict(i.headers), i.body, i.tokens) for i in items]
+    bodies = [ItemBody(i.item_id, i.path, dict(i.headers), i.body, i.tokens) for i in items]
     return encode_struct(JobBodies(bodies))
 
 
@@ -105,7 +105,7 @@
     text = result.text
     parts = [text[at : at + TEXT_PART_BYTES] for at in range(0, len(text), TEXT_PART_BYTES)]
     parts = parts or [b""]
-    first = ResultRow(result.item, result.done, parts[0], len(parts))
+    first = ResultRow(result.item_id, result.done, parts[0], len(parts))
     rows = [(make_result_key(key, position), encode_struct(first))]
     for number, part in enumerate(parts[1:], 1):
         rows.append((make_result_key(key, position, number), part))
--- a/goldcreststair/components/jobs/const.py
+++ b/goldcreststair/components/jobs/const.py
@@ -83,7 +83,7 @@
 """Above this share of a customer's limit of waiting tokens, submissions are serialized, so that two
 concurrent ones cannot both take the last room."""
 ACCEPT_TRIES: Final = 4
-READ_AGAIN_SHARE: Final = 0.85
+REREAD_WAIT_SHARE: Final = 0.85
 """Fraction of a reader's wait after which the store is read once more."""
 CACHE_BYTES: Final = 24 * 1024 * 1024
 """Size of the cache of results and bodies for readers: a quarter of the memory a daemon may use."""
--- a/goldcreststair/components/jobs/estimate.py
+++ b/goldcreststair/components/jobs/estimate.py
@@ -45,12 +45,12 @@
 
     def learn(self, item: ItemProgress, run_events: int, run_ms: int) -> None:
         """Add a complete answer, with the number of events and the duration of its last run."""
-        if item.item.tokens <= 0:
+        if item.spec.tokens <= 0:
             return
         self._answers[item.route] += 1
         # The first answers count in full: the default before them is no evidence.
         weight = max(MIN_WEIGHT, 1 / self._answers[item.route])
-        length = item.last_event / item.item.tokens
+        length = item.last_event / item.spec.tokens
         known = self._paces.get(item.route, Pace(length, DEFAULT_EVENT_MS))
         event_ms = known.event_ms
         if run_events > MIN_REMAINING_EVENTS:
@@ -72,7 +72,7 @@
     def estimate_remaining_ms(self, item: ItemProgress) -> float:
         """Return the ms that an item would take from a start now to its end."""
         pace = self._paces.get(item.route, Pace(0.0, DEFAULT_EVENT_MS))
-        expected = item.item.tokens * pace.events_per_token
+        expected = item.spec.tokens * pace.events_per_token
         return (
             FIRST_EVENT_MS + max(MIN_REMAINING_EVENTS, expected - item.last_event) * pace.event_ms
         )
--- a/goldcreststair/components/jobs/execution.py
+++ b/goldcreststair/components/jobs/execution.py
@@ -145,7 +145,7 @@
         """Give up items that have waited too long, and start the most urgent ones."""
         now = self._clock.now()
         for job, item in tuple(self._registry.list_expired(Millis(now - EXPIRY_MARGIN_MS))):
-            self._finish(job, item, ItemResult(item.item.item, done=False), "waited too long")
+            self._finish(job, item, ItemResult(item.spec.item_id, done=False), "waited too long")
         self.waiting_in_time = 0
         if self._stopped or not self._registry.jobs:
             return
@@ -195,11 +195,11 @@
         """
         job, item = ranked.job, ranked.item
         catalogue = self._core.blackboard.read(CATALOGUE)
-        route = catalogue.find_route(job.record.route_host, item.item.path)
+        route = catalogue.find_route(job.record.route_host, item.spec.path)
         if route is None:
             if not self._is_route_gone(job):
                 return False
-            self._finish(job, item, ItemResult(item.item.item, done=False), "its route is gone")
+            self._finish(job, item, ItemResult(item.spec.item_id, done=False), "its route is gone")
             return True
         job.route_missing_since = None
         service = choose_service(route, self._core.random.random())
@@ -303,12 +303,12 @@
 
     def _make_call(self, job: OwnedJob, item: ItemProgress, entry: UpstreamEntry) -> RunCall:
         return RunCall(
-            request_id=item.item.item,
+            request_id=item.spec.item_id,
             method=METHOD,
             host=job.record.route_host,
-            path=item.item.path,
-            headers=item.item.headers,
-            body=item.item.body,
+            path=item.spec.path,
+            headers=item.spec.headers,
+            body=item.spec.body,
             customer=job.key.customer,
             upstream=entry.name,
             deadline_ms=RUN_TIMEOUT_MS,
@@ -334,14 +334,14 @@
             self._estimate.learn(item, item.last_event - run.first_event, run_ms)
         text = b"\n".join(item.data) if done else b""
         reason = "whole" if done else _describe(end)
-        self._finish(job, item, ItemResult(item.item.item, done, text), reason, name)
+        self._finish(job, item, ItemResult(item.spec.item_id, done, text), reason, name)
 
     def _report_failure(self, run: _Run, end: Result[RunEnd, UpstreamError]) -> None:
         if isinstance(end, Ok):
             return
         error = end.err_value
         if error.failure in (UpstreamFailure.CONNECT, UpstreamFailure.SILENT):
-            self._placement.note_down(run.upstream, error.message, run.item.item.item)
+            self._placement.note_down(run.upstream, error.message, run.item.spec.item_id)
         elif error.failure is UpstreamFailure.LOST:
             fingerprint = _make_fingerprint(run.job, run.item)
             begun = run.item.last_event > run.first_event
@@ -375,7 +375,7 @@
             LOG_MESSAGES[choice],
             extra={
                 "job": job.key.job,
-                "item": item.item.item,
+                "item": item.spec.item_id,
                 "upstream": upstream,
                 "reason": reason,
                 "last_event": item.last_event,
@@ -387,7 +387,7 @@
 
 
 def _make_fingerprint(job: OwnedJob, item: ItemProgress) -> str:
-    return make_call_fingerprint(job.key.customer, METHOD, item.item.path, item.item.body)
+    return make_call_fingerprint(job.key.customer, METHOD, item.spec.path, item.spec.body)
 
 
 def _describe(end: Result[RunEnd, UpstreamError]) -> str:
--- a/goldcreststair/components/jobs/models.py
+++ b/goldcreststair/components/jobs/models.py
@@ -12,7 +12,7 @@
 class JobItem:
     """One item as its caller submitted it."""
 
-    item: str
+    item_id: str
     """Id of the item, unique within its job."""
     path: str
     headers: tuple[tuple[str, str], ...]
@@ -72,7 +72,7 @@
 class ItemResult:
     """Final result of one item."""
 
-    item: str
+    item_id: str
     done: bool
     """False if the item was given up."""
     text: bytes = b""
@@ -128,7 +128,7 @@
     tokens: int
     jobs: Mapping[str, OpenJob] = field(default_factory=dict)
     """All open jobs of the customer, by id."""
-    order: int = 0
+    order_version: int = 0
     """Version of the row that serializes submissions."""
     now_ms: int = 0
     """Time on the store's clock, ms."""
--- a/goldcreststair/components/jobs/reading.py
+++ b/goldcreststair/components/jobs/reading.py
@@ -7,7 +7,7 @@
 
 from goldcreststair.clock import Clock
 from goldcreststair.components.jobs.codec import decode_items
-from goldcreststair.components.jobs.const import CACHE_BYTES, PAGE_BYTES, READ_AGAIN_SHARE
+from goldcreststair.components.jobs.const import CACHE_BYTES, PAGE_BYTES, REREAD_WAIT_SHARE
 from goldcreststair.components.jobs.errors import JobError, JobProblem
 from goldcreststair.components.jobs.models import (
     ItemResult,
@@ -94,7 +94,7 @@
             return page
         if wait_ms <= 0:
             return page
-        await self._clock.async_sleep(int(wait_ms * READ_AGAIN_SHARE))
+        await self._clock.async_sleep(int(wait_ms * REREAD_WAIT_SHARE))
         return await self._async_read_page(record, position)
 
     async def async_read_items(self, key: JobKey) -> Result[tuple[JobItem, ...], JobError]:
--- a/goldcreststair/components/jobs/records.py
+++ b/goldcreststair/components/jobs/records.py
@@ -124,7 +124,7 @@
                     return put
                 stored = put.ok_value
             serialize = usage.tokens + submission.tokens > limit * USAGE_SERIALIZED_SHARE
-            order = usage.order if limit and serialize else None
+            order = usage.order_version if limit and serialize else None
             done = await self._async_commit_job(submission, stored, owner, order)
             if isinstance(done, Ok) or done.err_value.problem is not JobProblem.MISSING:
                 return done
--- a/goldcreststair/components/jobs/registry.py
+++ b/goldcreststair/components/jobs/registry.py
@@ -28,7 +28,8 @@
 class ItemProgress:
     """Progress of one item of an owned job."""
 
-    item: JobItem
+    spec: JobItem
+    """The item as submitted."""
     number: int
     """Index of the item in its job."""
     route: int = 0
@@ -87,7 +88,7 @@
 
     def find(self, item: str) -> ItemProgress | None:
         """Return an item by its id, or None."""
-        return next((found for found in self.items if found.item.item == item), None)
+        return next((found for found in self.items if found.spec.item_id == item), None)
 
 
 EstimateRemaining = Callable[[ItemProgress], float]
--- a/goldcreststair/components/jobs/remote.py
+++ b/goldcreststair/components/jobs/remote.py
@@ -142,7 +142,7 @@
         if isinstance(read, Err):
             return _make_reply(read)
         page = read.ok_value
-        rows = [ResultRow(r.item, r.done, r.text, 1) for r in page.results]
+        rows = [ResultRow(r.item_id, r.done, r.text, 1) for r in page.results]
         return JobReply("", "", page.total, rows)
     if call.verb == JobVerb.BODY:
         body = await jobs.async_read_body(key, call.item)
--- a/goldcreststair/components/jobs/result_writer.py
+++ b/goldcreststair/components/jobs/result_writer.py
@@ -89,7 +89,7 @@
             size += len(result.text)
             if chosen and (entries > MAX_COMMIT_ENTRIES or size > MAX_COMMIT_BYTES):
                 break
-            chosen.append((item.item.tokens, result))
+            chosen.append((item.spec.tokens, result))
             if item.saved_event:
                 saved.append(item.number)
         failures = tuple(item.failures for item in job.items)
--- a/goldcreststair/components/jobs/service.py
+++ b/goldcreststair/components/jobs/service.py
@@ -147,7 +147,7 @@
         if job is None:
             return await self._reader.async_read(key, position, wait_ms)
         if position >= len(job.committed) and not job.is_complete and wait_ms > 0:
-            await self._async_wait_for(key, wait_ms)
+            await self._async_wait_for_result(key, wait_ms)
             if self._find_confirmed(key) is not job and not job.is_complete:
                 return await self._reader.async_read(key, position, 0)
         return Ok(make_page(job.record.items, job.committed, position))
@@ -156,13 +156,13 @@
         """Return the body of an item."""
         job = self._find_confirmed(key)
         if job is not None:
-            items = tuple(progress.item for progress in job.items)
+            items = tuple(progress.spec for progress in job.items)
         else:
             read = await self._reader.async_read_items(key)
             if isinstance(read, Err):
                 return read
             items = read.ok_value
-        found = next((each for each in items if each.item == item), None)
+        found = next((each for each in items if each.item_id == item), None)
         if found is None:
             return Err(JobError("no such item", JobProblem.MISSING))
         return Ok(found.body)
@@ -410,7 +410,7 @@
                 # A failure in one job must not stop the others.
                 _LOGGER.exception("Batch tick failed")
 
-    async def _async_wait_for(self, key: JobKey, wait_ms: int) -> None:
+    async def _async_wait_for_result(self, key: JobKey, wait_ms: int) -> None:
         event = self._result_events.setdefault(key, asyncio.Event())
         try:
             async with asyncio.timeout(wait_ms / 1000):
@@ -427,9 +427,9 @@
 def _restore(job: OwnedJob, committed: list[ItemResult], progress: list[SavedProgress]) -> None:
     """Restore the results and progress that a job's earlier owners saved."""
     job.committed = committed
-    done = {result.item for result in committed}
+    done = {result.item_id for result in committed}
     for item in job.items:
-        if item.item.item in done:
+        if item.spec.item_id in done:
             item.state = ItemState.COMMITTED
     for saved in progress:
         if saved.number >= len(job.items):
--- a/tests/components/crash_marks/test_service.py
+++ b/tests/components/crash_marks/test_service.py
@@ -57,7 +57,7 @@
             await fleet.clock.async_sleep(500)
             fleet.restart_engines()
         assert fleet.engines.crashes <= CRASHES_TO_REFUSE + 1
-        done = {result.item for result in (await async_read(member, "digest")).results}
+        done = {result.item_id for result in (await async_read(member, "digest")).results}
         assert done == {"digest-0", "digest-2", "digest-3"}
 
     run_fleet(scenario)
--- a/tests/components/jobs/test_execution.py
+++ b/tests/components/jobs/test_execution.py
@@ -58,9 +58,9 @@
     for job in (make_job("later", 1, 1_000), make_job("soon", 2, 500)):
         book.jobs[job.key] = job
         for item in job.items:
-            item.last_event = 15 if item.item.item in begun else 0
+            item.last_event = 15 if item.spec.item_id in begun else 0
     ranked = book.list_startable(Millis(now), estimate_remaining_ms)
-    assert [each.item.item.item for each in ranked] == expected
+    assert [each.item.spec.item_id for each in ranked] == expected
 
 
 @pytest.mark.parametrize(
@@ -78,7 +78,7 @@
 
     runs = [Run(soon, soon.items[0]), *(Run(later, item) for item in later.items)]
     chosen = choose_preempted(runs, 3, Millis(now), estimate_remaining_ms)
-    assert [run.item.item.item for run in chosen] == expected
+    assert [run.item.spec.item_id for run in chosen] == expected
 
 
 def test_run_preempted_before_its_first_step_is_restarted() -> None:
@@ -184,7 +184,7 @@
         assert firsts[-1] < 150, firsts
         await fleet.clock.async_sleep(20_000)
         page = await async_read(second, "digest")
-        texts = {result.item: result.text for result in page.results}
+        texts = {result.item_id: result.text for result in page.results}
         assert texts == {f"digest-{n}": make_text(f"digest-{n}", 150) for n in range(14)}
         resumed = [call for engine in engines for call in engine.ran if call.resume_after]
         assert resumed, "preempted items resume after their last event"
--- a/tests/components/jobs/test_ownership.py
+++ b/tests/components/jobs/test_ownership.py
@@ -33,7 +33,7 @@
         await fleet.clock.async_sleep(12_000)
         pages = [await async_read(member, "digest") for member in (second, third)]
         assert pages[0] == pages[1]
-        assert sorted(result.item for result in pages[0].results) == [
+        assert sorted(result.item_id for result in pages[0].results) == [
             f"digest-{number}" for number in range(5)
         ]
         assert all(result.done for result in pages[0].results)
@@ -259,7 +259,7 @@
         # At 30 ms per event and one save per second, at most 40 of about 130 events are repeated.
         assert min(resumed.values()) >= 90, resumed
         page = await async_read(second, "digest")
-        texts = {result.item: result.text for result in page.results}
+        texts = {result.item_id: result.text for result in page.results}
         assert texts == {f"digest-{n}": make_text(f"digest-{n}", 150) for n in range(5)}
         assert not [key for key in fleet.store.rows if key.table == TABLE_PROGRESS]
 
@@ -289,7 +289,7 @@
         assert min(resumed.values()) >= 90, resumed
         await fleet.clock.async_sleep(4_000)
         page = await async_read(second, "digest")
-        texts = {result.item: result.text for result in page.results}
+        texts = {result.item_id: result.text for result in page.results}
         assert texts == {f"digest-{n}": make_text(f"digest-{n}", 150) for n in range(5)}
 
     run_fleet(scenario)
--- a/tests/components/jobs/test_result_writer.py
+++ b/tests/components/jobs/test_result_writer.py
@@ -81,7 +81,7 @@
     """Finish an item of a job."""
     item = job.items[number]
     item.state = ItemState.FINISHED
-    job.finished.append((item, ItemResult(item.item.item, done=True)))
+    job.finished.append((item, ItemResult(item.spec.item_id, done=True)))
     writer.schedule(job)
 
 
