--- a/goldcreststair/http_connection.py
+++ b/goldcreststair/http_connection.py
@@ -1,7 +1,7 @@
-"""One kept connection to an HTTP server: sends requests one after the other and reads their answers.
+"""A persistent connection to an HTTP server, which sends one request after another.
 
-Load it answers: streams of many small pieces. A piece costs one wake-up of the loop and one call of the
-parser, where tornado's client needs several waits and two changes of the selector.
+It is built for streams of many small chunks: a chunk costs one wake-up of the event loop and one call
+of the parser, while tornado's client needs several waits and two changes of the selector.
 """
 
 from __future__ import annotations
@@ -28,34 +28,34 @@
 )
 
 STATUS_OK: Final = 200
-MAX_FOREIGN_ANSWERS: Final = 3
-"""Answers to other requests that are read past before a connection is given up."""
+MAX_FOREIGN_RESPONSES: Final = 3
+"""Number of responses to other requests that are skipped before a connection is closed."""
 _BUFFER: Final = bytearray(READ_BYTES)
-"""Shared by all connections: what arrives is parsed before the next one reads."""
+"""Shared by all connections: received bytes are parsed before the next connection reads."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseHooks:
-    """What to do with an answer while it arrives."""
+    """Callbacks for a response while it arrives."""
 
     on_head: OnHead | None = None
     on_data: OnData | None = None
-    """Takes the body of a 200 answer piece by piece."""
+    """Receives the body of a 200 response in chunks."""
     is_own: Callable[[HTTPHeaders], bool] | None = None
-    """Tells by the head whether the answer belongs to this request."""
+    """Returns by the headers whether the response belongs to this request."""
 
 
-class _Reading:
-    """Reads the answer to one request; called back by the parser."""
+class _ResponseReader:
+    """Reads the response to one request; the parser calls its `on_...` methods."""
 
     def __init__(self, exchange: Exchange, hooks: ResponseHooks) -> None:
         self.done: asyncio.Future[Result[HttpResponse, ExchangeError]]
         self.done = asyncio.get_running_loop().create_future()
-        self.whole = False
-        """Whether the answer has ended as its head said."""
+        self.complete = False
+        """Whether the response has ended as its head announced."""
         self.keeps_alive = False
-        self.has_extra = False
-        """Whether another answer has begun after the whole one."""
+        self.has_extra_response = False
+        """Whether another response has begun after the complete one."""
         self.parser = httptools.HttpResponseParser(self)
         self._hooks = hooks
         self._max_bytes = exchange.max_response_bytes
@@ -63,28 +63,28 @@
         self._headers = HTTPHeaders()
         self._has_head = False
         self._foreign = False
-        self._foreign_answers = 0
-        self._pieces: list[bytes] = []
-        self._unpassed: list[bytes] = []
-        """Pieces of the body that the caller has not been given yet."""
+        self._foreign_count = 0
+        self._chunks: list[bytes] = []
+        self._pending: list[bytes] = []
+        """Chunks of the body that `on_data` has not received yet."""
         self._bytes = 0
 
     def on_message_begin(self) -> None:
-        """Begin an answer."""
-        if self.whole:
-            self.has_extra = True
+        """Begin a response."""
+        if self.complete:
+            self.has_extra_response = True
             return
         self._headers, self._has_head, self._foreign = HTTPHeaders(), False, False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
-        if not self.whole:
+        """Add a header."""
+        if not self.complete:
             self._headers.add(name.decode("latin1"), value.decode("latin1").strip())
 
     def on_headers_complete(self) -> None:
-        """Take the head, unless a final one is to follow."""
+        """Process the head, unless it is informational and the final one follows."""
         status = self.parser.get_status_code()
-        if self.whole or status < STATUS_OK:
+        if self.complete or status < STATUS_OK:
             return
         self._status, self._has_head = status, True
         is_own = self._hooks.is_own
@@ -92,58 +92,60 @@
         if not self._foreign and self._hooks.on_head is not None:
             self._hooks.on_head(status, self._headers)
 
-    def on_body(self, piece: bytes) -> None:
-        """Take a piece of the body."""
-        if self._foreign or self.whole:
+    def on_body(self, chunk: bytes) -> None:
+        """Add a chunk of the body."""
+        if self._foreign or self.complete:
             return
-        self._bytes += len(piece)
+        self._bytes += len(chunk)
         if self._bytes > self._max_bytes:
-            self.fail("answer too long", ExchangeFailure.BROKEN)
+            self.fail("response too long", ExchangeFailure.BROKEN)
         streamed = self._hooks.on_data is not None and self._status == STATUS_OK
-        (self._unpassed if streamed else self._pieces).append(piece)
+        (self._pending if streamed else self._chunks).append(chunk)
 
     def on_message_complete(self) -> None:
-        """End an answer."""
-        if self.whole or not self._has_head:
+        """End a response."""
+        if self.complete or not self._has_head:
             return
         if not self._foreign:
-            self.whole, self.keeps_alive = True, self.parser.should_keep_alive()
+            self.complete, self.keeps_alive = True, self.parser.should_keep_alive()
             return
-        # Shows as the answer of another request where ours is due: an upstream sent one answer
-        # twice. Ours comes after it, on the same connection.
-        self._foreign_answers += 1
-        if self._foreign_answers > MAX_FOREIGN_ANSWERS:
-            self.fail("only answers of other requests", ExchangeFailure.MALFORMED)
-
-    def pass_on(self) -> Awaitable[None] | None:
-        """Give what has arrived to the caller, in one piece; returns what to wait for."""
-        if not self._unpassed or self._hooks.on_data is None:
+        # An upstream that sends one response twice puts the copy in front of the next response, which
+        # follows on the same connection. Without this check the next request would get the copy.
+        self._foreign_count += 1
+        if self._foreign_count > MAX_FOREIGN_RESPONSES:
+            self.fail("only responses to other requests", ExchangeFailure.MALFORMED)
+
+    def deliver(self) -> Awaitable[None] | None:
+        """Pass what has arrived to `on_data` in one chunk; returns what to wait for."""
+        if not self._pending or self._hooks.on_data is None:
             return None
-        data, self._unpassed = b"".join(self._unpassed), []
+        data, self._pending = b"".join(self._pending), []
         return self._hooks.on_data(data)
 
     def finish(self) -> None:
-        """Settle a whole answer."""
+        """Resolve `done` with the complete response."""
         if not self.done.done():
-            answer = HttpResponse(self._status, self._headers, b"".join(self._pieces))
-            self.done.set_result(Ok(answer))
+            response = HttpResponse(self._status, self._headers, b"".join(self._chunks))
+            self.done.set_result(Ok(response))
 
     def end(self, error: BaseException | None) -> None:
-        """Take the end of the connection; an answer without a length ends with it, unless by a reset."""
-        lengthless = not ("Content-Length" in self._headers or "Transfer-Encoding" in self._headers)
-        if self._has_head and not self._foreign and lengthless and error is None:
-            self.whole = True
+        """Handle the end of the connection, which ends a response without a length unless by a reset."""
+        has_no_length = not (
+            "Content-Length" in self._headers or "Transfer-Encoding" in self._headers
+        )
+        if self._has_head and not self._foreign and has_no_length and error is None:
+            self.complete = True
             self.finish()
         else:
             self.fail(f"connection closed early: {error!r}", ExchangeFailure.BROKEN)
 
     def fail(self, message: str, failure: ExchangeFailure) -> None:
-        """Settle an answer that will not be whole."""
+        """Resolve `done` with an error."""
         if not self.done.done():
             self.done.set_result(Err(ExchangeError(message, failure)))
 
-    def raise_to_asker(self, error: BaseException) -> None:
-        """Let whoever asked have an error of its own hooks."""
+    def raise_to_requester(self, error: BaseException) -> None:
+        """Raise an error of the requester's own hooks to the requester."""
         if not self.done.done():
             self.done.set_exception(error)
 
@@ -151,93 +153,93 @@
 class PersistentConnection(asyncio.BufferedProtocol):
     """A connection that serves one request at a time."""
 
-    def __init__(self, raw: socket.socket) -> None:
-        """Take a socket that is about to be connected."""
-        self._raw = raw
+    def __init__(self, sock: socket.socket) -> None:
+        """Initialise with a socket that is about to be connected."""
+        self._socket = sock
         self._transport: asyncio.Transport | None = None
-        self._reading: _Reading | None = None
-        self._spoiled = False
-        """Whether bytes came that belong to no request."""
-        self._passing: asyncio.Task[None] | None = None
+        self._reader: _ResponseReader | None = None
+        self._unusable = False
+        """Whether the connection was closed or received bytes that belong to no request."""
+        self._delivery: asyncio.Task[None] | None = None
 
     @property
     def transport(self) -> asyncio.Transport:
-        """Its transport; raises `ConnectionError` if it has none."""
+        """The transport; raises `ConnectionError` if not connected."""
         if self._transport is None:
             raise ConnectionError("not connected")
         return self._transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the open connection."""
+        """Store the transport of the opened connection."""
         self._transport = cast(asyncio.Transport, transport)
 
     def get_buffer(self, _: int) -> bytearray:
-        """Return where the next bytes go."""
+        """Return the buffer for the next bytes."""
         return _BUFFER
 
     def buffer_updated(self, count: int) -> None:
-        """Take what has arrived."""
-        reading = self._reading
-        # An asker that was cancelled, or has its error, may have asked elsewhere by now; the connection
-        # is closed only in the next turn of the loop.
-        if reading is None or reading.whole or reading.done.done():
-            self._spoiled = True
+        """Parse the received bytes."""
+        reader = self._reader
+        # A requester that was cancelled or got an error may have sent its request elsewhere by now; this
+        # connection is closed only in the next iteration of the event loop.
+        if reader is None or reader.complete or reader.done.done():
+            self._unusable = True
             return
         try:
-            reading.parser.feed_data(memoryview(_BUFFER)[:count])
+            reader.parser.feed_data(memoryview(_BUFFER)[:count])
         except httptools.HttpParserCallbackError as error:
-            reading.raise_to_asker(error.__context__ or error)
+            reader.raise_to_requester(error.__context__ or error)
             return
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._spoiled = True
-            if not reading.whole:
-                reading.fail(f"answer broken: {error!r}", ExchangeFailure.BROKEN)
-        self._pass_on(reading)
+            self._unusable = True
+            if not reader.complete:
+                reader.fail(f"response broken: {error!r}", ExchangeFailure.BROKEN)
+        self._deliver(reader)
 
-    def _pass_on(self, reading: _Reading) -> None:
+    def _deliver(self, reader: _ResponseReader) -> None:
         try:
-            taken = reading.pass_on()
+            delivery = reader.deliver()
         except Exception as error:
-            reading.raise_to_asker(error)
+            reader.raise_to_requester(error)
             return
-        if taken is not None:
-            # What a slow caller does not take is not read either.
+        if delivery is not None:
+            # Backpressure: reading pauses until the caller has received these bytes.
             self.transport.pause_reading()
-            self._passing = asyncio.ensure_future(self._async_wait(reading, taken))
-        elif reading.whole:
-            reading.finish()
+            self._delivery = asyncio.ensure_future(self._async_deliver(reader, delivery))
+        elif reader.complete:
+            reader.finish()
 
-    async def _async_wait(self, reading: _Reading, taken: Awaitable[None]) -> None:
+    async def _async_deliver(self, reader: _ResponseReader, delivery: Awaitable[None]) -> None:
         try:
-            await taken
+            await delivery
         except (StreamClosedError, OSError) as error:
-            reading.fail(f"answer not taken: {error!r}", ExchangeFailure.BROKEN)
+            reader.fail(f"response not delivered: {error!r}", ExchangeFailure.BROKEN)
             return
-        if reading.whole:
-            reading.finish()
+        if reader.complete:
+            reader.finish()
         if not self.transport.is_closing():
             self.transport.resume_reading()
 
     def eof_received(self) -> bool:
-        """Take the server's end of the connection."""
+        """Handle the end of the server's side of the connection."""
         self._end(None)
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Take the end of the connection."""
+        """Handle the end of the connection."""
         self._end(error)
 
     def _end(self, error: BaseException | None) -> None:
-        self._spoiled = True
-        if self._reading is not None and not self._reading.whole:
-            self._reading.end(error)
+        self._unusable = True
+        if self._reader is not None and not self._reader.complete:
+            self._reader.end(error)
 
-    def is_quiet(self) -> bool:
-        """Return whether the connection is open and nothing waits to be read, not even its end."""
-        if self._spoiled or self.transport.is_closing():
+    def is_reusable(self) -> bool:
+        """Return whether the connection is open and no byte and no end of file is pending."""
+        if self._unusable or self.transport.is_closing():
             return False
         try:
-            self._raw.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+            self._socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return True
         except OSError:
@@ -245,29 +247,29 @@
         return False
 
     def close(self) -> None:
-        """Close at once; what is not sent is dropped."""
-        self._spoiled = True
-        if self._passing is not None:
-            self._passing.cancel()
+        """Close at once; unsent bytes are dropped."""
+        self._unusable = True
+        if self._delivery is not None:
+            self._delivery.cancel()
         if self._transport is not None:
             self._transport.abort()
         else:
-            self._raw.close()
+            self._socket.close()
 
-    async def async_ask(
+    async def async_send(
         self, exchange: Exchange, hooks: ResponseHooks
     ) -> tuple[Result[HttpResponse, ExchangeError], bool]:
-        """Send a request; returns its answer, and whether the connection may be used again."""
-        reading = self._reading = _Reading(exchange, hooks)
+        """Send a request; returns its response and whether the connection may be reused."""
+        reader = self._reader = _ResponseReader(exchange, hooks)
         try:
             self.transport.write(_encode(exchange))
-            outcome = await reading.done
+            outcome = await reader.done
         finally:
-            self._reading = None
-        kept = reading.whole and reading.keeps_alive
-        kept = kept and not (reading.has_extra or self._spoiled)
-        # An upstream may answer before it has read a long body, and goes on to expect its rest.
-        return outcome, kept and not self.transport.get_write_buffer_size()
+            self._reader = None
+        reusable = reader.complete and reader.keeps_alive
+        reusable = reusable and not (reader.has_extra_response or self._unusable)
+        # An upstream may respond before it has read a long body, and still expects the rest of it.
+        return outcome, reusable and not self.transport.get_write_buffer_size()
 
 
 def _encode(exchange: Exchange) -> bytes:
--- a/goldcreststair/http_exchange.py
+++ b/goldcreststair/http_exchange.py
@@ -1,8 +1,8 @@
-"""One HTTP request on one fresh connection, over tornado's HTTP/1 client parts.
+"""One HTTP request on one new connection, with tornado's HTTP/1 connection classes.
 
-`AsyncHTTPClient` cannot tell a connection that never opened from one that broke, nor be
-cancelled while an answer is silent; both decide here whether "not run" is true, so the exchange
-is done on tornado's own `HTTP1Connection`.
+`AsyncHTTPClient` cannot distinguish a connection that never opened from one that broke, and cannot be
+cancelled while a response is pending. Both are needed to decide whether a request may be reported as
+"not run", so the exchange uses tornado's `HTTP1Connection` directly.
 """
 
 from __future__ import annotations
@@ -34,30 +34,30 @@
 
 
 class ExchangeFailure(StrEnum):
-    """How far an exchange came before it failed."""
+    """Stage at which an exchange failed."""
 
     CONNECT = "connect"
-    """The connection never opened: no byte of the request left."""
+    """The connection never opened: no byte of the request was sent."""
     BROKEN = "broken"
-    """The connection closed before the answer was whole."""
+    """The connection closed before the response was complete."""
     TIMEOUT = "timeout"
-    """The whole time ran out after the connection opened."""
+    """The exchange timed out after the connection opened."""
     IDLE = "idle"
-    """No byte came for the idle time."""
+    """No byte arrived for the idle timeout."""
     MALFORMED = "malformed"
-    """The answer was not HTTP."""
+    """The connection delivered no response to this request, only responses to others."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangeError(GoldcreststairError):
-    """An exchange without a whole answer."""
+    """An exchange without a complete response."""
 
     failure: ExchangeFailure = ExchangeFailure.BROKEN
 
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """The head of an answer, and its body unless it was streamed away."""
+    """The head of a response, and its body unless `on_data` received it."""
 
     status: int
     headers: HTTPHeaders
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """What to send and how long to wait."""
+    """A request to send, and its timeouts and limits."""
 
     address: str
     """HOST:PORT with an IP number."""
@@ -80,21 +80,21 @@
     headers: Mapping[str, str] = field(default_factory=dict)
     body: bytes = b""
     idle_timeout_ms: int = 0
-    """Longest wait between two pieces of the answer; 0 for no such limit."""
+    """Longest wait between two chunks of the response; 0 for no limit."""
     connect_timeout_ms: int = DEFAULT_CONNECT_TIMEOUT_MS
     max_response_bytes: int = MAX_RESPONSE_BYTES
     """A longer body ends the exchange as broken."""
 
 
-class _AnswerReader(HTTPMessageDelegate):
+class _ResponseReader(HTTPMessageDelegate):
     def __init__(self, on_head: OnHead | None, on_data: OnData | None) -> None:
         self.status = 0
         self.headers = HTTPHeaders()
-        self.pieces: list[bytes] = []
-        self.whole = False
+        self.chunks: list[bytes] = []
+        self.complete = False
         self.progress = 0
-        self.held = False
-        """Whether a piece waits for who takes it, so that nothing more is read meanwhile."""
+        self.delivering = False
+        """Whether `on_data` still processes a chunk, so that nothing more is read meanwhile."""
         self._on_head = on_head
         self._on_data = on_data
 
@@ -111,41 +111,41 @@
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
         self.progress += 1
         if self._on_data is None or self.status != 200:
-            self.pieces.append(chunk)
+            self.chunks.append(chunk)
             return None
-        taking = self._on_data(chunk)
-        return None if taking is None else self._async_hold(taking)
+        delivery = self._on_data(chunk)
+        return None if delivery is None else self._async_deliver(delivery)
 
     def finish(self) -> None:
-        self.whole = True
+        self.complete = True
 
-    async def _async_hold(self, taking: Awaitable[None]) -> None:
-        self.held = True
+    async def _async_deliver(self, delivery: Awaitable[None]) -> None:
+        self.delivering = True
         try:
-            await taking
+            await delivery
         finally:
-            self.held = False
+            self.delivering = False
             self.progress += 1
 
 
 async def async_exchange(
     exchange: Exchange, on_head: OnHead | None = None, on_data: OnData | None = None
 ) -> Result[HttpResponse, ExchangeError]:
-    """Send one request and read its answer.
+    """Send one request and read its response.
 
-    With `on_data` the body of a 200 answer goes there piece by piece. Cancelling the coroutine
+    With `on_data` the body of a 200 response is passed to it in chunks. Cancelling the coroutine
     closes the connection at once.
     """
     opened = await _async_connect(exchange)
     if isinstance(opened, Err):
         return opened
     stream = opened.ok_value
-    reader = _AnswerReader(on_head, on_data)
+    reader = _ResponseReader(on_head, on_data)
     try:
         async with asyncio.timeout(exchange.timeout_ms / MS_PER_SECOND):
-            return await _async_talk(stream, exchange, reader)
+            return await _async_send(stream, exchange, reader)
     except TimeoutError:
-        return Err(ExchangeError("no whole answer in time", ExchangeFailure.TIMEOUT))
+        return Err(ExchangeError("no complete response in time", ExchangeFailure.TIMEOUT))
     finally:
         stream.close()
 
@@ -153,9 +153,9 @@
 async def _async_connect(exchange: Exchange) -> Result[IOStream, ExchangeError]:
     host, _, port = exchange.address.rpartition(":")
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    raw = socket.socket(family, socket.SOCK_STREAM)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    stream = IOStream(raw, max_buffer_size=MAX_RESPONSE_BYTES)
+    sock = socket.socket(family, socket.SOCK_STREAM)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    stream = IOStream(sock, max_buffer_size=MAX_RESPONSE_BYTES)
     try:
         async with asyncio.timeout(exchange.connect_timeout_ms / MS_PER_SECOND):
             await stream.connect((host.strip("[]"), int(port)))
@@ -168,8 +168,8 @@
     return Ok(stream)
 
 
-async def _async_talk(
-    stream: IOStream, exchange: Exchange, reader: _AnswerReader
+async def _async_send(
+    stream: IOStream, exchange: Exchange, reader: _ResponseReader
 ) -> Result[HttpResponse, ExchangeError]:
     parameters = HTTP1ConnectionParameters(
         no_keep_alive=True, max_body_size=exchange.max_response_bytes, chunk_size=READ_BYTES
@@ -186,18 +186,18 @@
         reading = asyncio.ensure_future(connection.read_response(reader))
         idle = await _async_wait(reading, reader, exchange.idle_timeout_ms)
     except (StreamClosedError, HTTPInputError, OSError) as error:
-        return Err(ExchangeError(f"answer broken: {error!r}", ExchangeFailure.BROKEN))
+        return Err(ExchangeError(f"response broken: {error!r}", ExchangeFailure.BROKEN))
     if idle:
         return Err(ExchangeError("no progress", ExchangeFailure.IDLE))
-    if not reader.whole:
+    if not reader.complete:
         return Err(ExchangeError("connection closed early", ExchangeFailure.BROKEN))
-    return Ok(HttpResponse(reader.status, reader.headers, b"".join(reader.pieces)))
+    return Ok(HttpResponse(reader.status, reader.headers, b"".join(reader.chunks)))
 
 
 async def _async_wait(
-    reading: asyncio.Future[bool], reader: _AnswerReader, idle_timeout_ms: int
+    reading: asyncio.Future[bool], reader: _ResponseReader, idle_timeout_ms: int
 ) -> bool:
-    """Wait for the answer; returns True if it made no progress for the idle time."""
+    """Wait for the response; returns True if it made no progress for the idle timeout."""
     try:
         if not idle_timeout_ms:
             await reading
@@ -205,8 +205,8 @@
         while not reading.done():
             seen = reader.progress
             await asyncio.wait({reading}, timeout=idle_timeout_ms / MS_PER_SECOND)
-            # Silence while a piece is held is ours: the server's next bytes wait unread.
-            if not reading.done() and reader.progress == seen and not reader.held:
+            # Silence while a chunk is being processed is caused here: the server's bytes are not read.
+            if not reading.done() and reader.progress == seen and not reader.delivering:
                 return True
         reading.result()
         return False
--- a/tests/test_http_connection.py
+++ b/tests/test_http_connection.py
@@ -1,4 +1,4 @@
-"""Answers on kept connections, as a server may send them."""
+"""Tests of responses on persistent connections, complete and broken."""
 
 import asyncio
 import socket
@@ -13,11 +13,11 @@
 from goldcreststair.http_pool import ConnectionPool
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-ANSWER = HEAD + b"1\r\na\r\n1\r\nb\r\n0\r\n\r\n"
+RESPONSE = HEAD + b"1\r\na\r\n1\r\nb\r\n0\r\n\r\n"
 
 
 class Server:
-    """Answers each request with the same parts, and closes if it is told to."""
+    """Sends the same parts in response to each request; closes the connection then if `closes`."""
 
     def __init__(self, *parts: bytes, closes: bool = False) -> None:
         self.connections = 0
@@ -25,12 +25,12 @@
         self._closes = closes
 
     async def async_start(self) -> str:
-        """Listen; returns HOST:PORT."""
+        """Start listening; returns HOST:PORT."""
         self._server = await asyncio.start_server(self._async_serve, "127.0.0.1", 0)
         return f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     async def async_close(self) -> None:
-        """Stop."""
+        """Stop listening."""
         self._server.close()
         await self._server.wait_closed()
 
@@ -50,25 +50,25 @@
         writer.close()
 
 
-Ask = Callable[[ResponseHooks], Awaitable[Result[HttpResponse, ExchangeError]]]
+SendRequest = Callable[[ResponseHooks], Awaitable[Result[HttpResponse, ExchangeError]]]
 
 
 def run_server(
-    server: Server, scenario: Callable[[Ask], Awaitable[None]], limit: int = 100
+    server: Server, scenario: Callable[[SendRequest], Awaitable[None]], limit: int = 100
 ) -> None:
-    """Run a scenario with a pool of connections to a server; answers may have `limit` bytes."""
+    """Run a scenario with a connection pool to a server; responses may have up to `limit` bytes."""
 
     async def async_run() -> None:
         address = await server.async_start()
         pool = ConnectionPool(LoopClock())
 
-        async def async_ask(hooks: ResponseHooks) -> Result[HttpResponse, ExchangeError]:
+        async def async_send_request(hooks: ResponseHooks) -> Result[HttpResponse, ExchangeError]:
             exchange = Exchange(address, "GET", "/", 5_000, max_response_bytes=limit)
             return await pool.async_exchange(exchange, hooks)
 
         try:
             async with asyncio.timeout(20):
-                await scenario(async_ask)
+                await scenario(async_send_request)
         finally:
             pool.close()
             await server.async_close()
@@ -77,32 +77,32 @@
 
 
 @pytest.mark.parametrize(
-    ("parts", "kept"),
+    ("parts", "reused"),
     [
-        ((ANSWER,), True),
-        (tuple(ANSWER[n : n + 7] for n in range(0, len(ANSWER), 7)), True),
-        ((b"HTTP/1.1 100 Continue\r\n\r\n" + ANSWER,), True),
+        ((RESPONSE,), True),
+        (tuple(RESPONSE[n : n + 7] for n in range(0, len(RESPONSE), 7)), True),
+        ((b"HTTP/1.1 100 Continue\r\n\r\n" + RESPONSE,), True),
         ((HEAD + b"2\r\nab\r\n0\r\nTrailer: 1\r\n\r\n",), True),
         ((b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab",), True),
         ((b"HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nab",), False),
         ((b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nab",), False),
-        ((ANSWER + ANSWER,), False),
-        ((ANSWER + b"garbage",), False),
-        ((ANSWER, b"late"), False),
+        ((RESPONSE + RESPONSE,), False),
+        ((RESPONSE + b"garbage",), False),
+        ((RESPONSE, b"late"), False),
     ],
 )
-def test_a_whole_answer_and_whether_its_connection_is_kept(
-    parts: tuple[bytes, ...], kept: bool
+def test_connection_is_reused_only_after_a_complete_response(
+    parts: tuple[bytes, ...], reused: bool
 ) -> None:
-    """Guards against the rest of one answer that stands where the next one is due."""
+    """Guards against reading the rest of one response as the beginning of the next one."""
     server = Server(*parts)
 
-    async def scenario(ask: Ask) -> None:
+    async def scenario(send: SendRequest) -> None:
         for _ in range(2):
-            answer = await ask(ResponseHooks())
-            assert isinstance(answer, Ok) and answer.ok_value.body == b"ab"
+            response = await send(ResponseHooks())
+            assert isinstance(response, Ok) and response.ok_value.body == b"ab"
             await asyncio.sleep(0.06)
-        assert (server.connections == 1) == kept
+        assert (server.connections == 1) == reused
 
     run_server(server, scenario)
 
@@ -119,66 +119,66 @@
         HEAD + b"65\r\n" + b"x" * 101 + b"\r\n0\r\n\r\n",
     ],
 )
-def test_an_answer_that_is_not_whole_is_broken(part: bytes) -> None:
-    """Guards against a part of an answer that passes for all of it."""
+def test_incomplete_response_is_broken(part: bytes) -> None:
+    """Guards against accepting a partial response as a complete one."""
 
-    async def scenario(ask: Ask) -> None:
-        answer = await ask(ResponseHooks())
-        assert isinstance(answer, Err) and answer.err_value.failure is ExchangeFailure.BROKEN
+    async def scenario(send: SendRequest) -> None:
+        response = await send(ResponseHooks())
+        assert isinstance(response, Err) and response.err_value.failure is ExchangeFailure.BROKEN
 
     run_server(Server(part, closes=True), scenario)
 
 
-def test_an_answer_without_a_length_ends_with_its_connection() -> None:
-    async def scenario(ask: Ask) -> None:
-        answer = await ask(ResponseHooks())
-        assert isinstance(answer, Ok) and answer.ok_value.body == b"ab"
+def test_response_without_a_length_ends_with_its_connection() -> None:
+    async def scenario(send: SendRequest) -> None:
+        response = await send(ResponseHooks())
+        assert isinstance(response, Ok) and response.ok_value.body == b"ab"
 
     run_server(Server(b"HTTP/1.1 200 OK\r\n\r\na", b"b", closes=True), scenario)
 
 
-def test_nothing_is_read_while_the_last_piece_is_not_taken() -> None:
-    """Guards against a slow caller whose whole answer lies in this process's memory."""
+def test_reading_pauses_while_a_chunk_is_being_processed() -> None:
+    """Guards against buffering the complete response for a slow caller in this process's memory."""
 
-    async def scenario(ask: Ask) -> None:
-        taken: list[bytes] = []
+    async def scenario(send: SendRequest) -> None:
+        received: list[bytes] = []
         gate = asyncio.Event()
 
-        async def async_hold() -> None:
+        async def async_wait_for_gate() -> None:
             await gate.wait()
 
-        def take(data: bytes) -> Awaitable[None]:
-            taken.append(data)
-            return async_hold()
+        def receive(data: bytes) -> Awaitable[None]:
+            received.append(data)
+            return async_wait_for_gate()
 
-        asking = asyncio.ensure_future(ask(ResponseHooks(on_data=take)))
+        sending = asyncio.ensure_future(send(ResponseHooks(on_data=receive)))
         await asyncio.sleep(0.15)
-        assert taken == [b"ab"]
+        assert received == [b"ab"]
         gate.set()
-        answer = await asking
-        assert isinstance(answer, Ok) and b"".join(taken) == b"abcd"
+        response = await sending
+        assert isinstance(response, Ok) and b"".join(received) == b"abcd"
 
     parts = (HEAD + b"1\r\na\r\n1\r\nb\r\n", b"1\r\nc\r\n", b"1\r\nd\r\n0\r\n\r\n")
     run_server(Server(*parts), scenario)
 
 
-def test_an_error_of_who_takes_an_answer_reaches_who_asked() -> None:
-    """Guards against a fault of our own that is taken for the server's, or lost."""
+def test_error_in_a_hook_is_raised_to_the_requester() -> None:
+    """Guards against an error of the client's own code that is attributed to the server, or lost."""
 
-    async def scenario(ask: Ask) -> None:
-        def take(*_: object) -> None:
+    async def scenario(send: SendRequest) -> None:
+        def fail(*_: object) -> None:
             raise RuntimeError("fault")
 
         with pytest.raises(RuntimeError, match="fault"):
-            await ask(ResponseHooks(on_head=take))
+            await send(ResponseHooks(on_head=fail))
         with pytest.raises(RuntimeError, match="fault"):
-            await ask(ResponseHooks(on_data=take))
+            await send(ResponseHooks(on_data=fail))
 
-    run_server(Server(ANSWER), scenario)
+    run_server(Server(RESPONSE), scenario)
 
 
-def test_a_piece_that_comes_after_its_asker_was_cancelled_is_dropped() -> None:
-    """Guards against the last piece of a run that was given up, in a text that goes on elsewhere by then."""
+def test_chunk_received_after_a_cancellation_is_dropped() -> None:
+    """Guards against a late chunk of a cancelled run in a text that continues at another upstream."""
 
     async def async_run() -> None:
         ours, theirs = socket.socketpair()
@@ -186,19 +186,20 @@
         connection = PersistentConnection(ours)
         loop = asyncio.get_running_loop()
         await loop.create_connection(lambda: connection, sock=ours)
-        taken: list[bytes] = []
-        hooks = ResponseHooks(on_data=taken.append)
-        asking = asyncio.ensure_future(connection.async_ask(Exchange("", "GET", "/", 1), hooks))
+        received: list[bytes] = []
+        hooks = ResponseHooks(on_data=received.append)
+        sending = asyncio.ensure_future(connection.async_send(Exchange("", "GET", "/", 1), hooks))
         await asyncio.sleep(0)
         theirs.sendall(HEAD + b"1\r\na\r\n")
         await asyncio.sleep(0.02)
-        # What has arrived already is handled after the cancellation, in the same turn of the loop.
+        # Bytes that have already arrived are processed after the cancellation, in the same iteration
+        # of the event loop.
         theirs.sendall(b"1\r\nb\r\n")
-        asking.cancel()
+        sending.cancel()
         connection.buffer_updated(ours.recv_into(connection.get_buffer(0)))
-        await asyncio.gather(asking, return_exceptions=True)
+        await asyncio.gather(sending, return_exceptions=True)
         connection.close()
         theirs.close()
-        assert taken == [b"a"]
+        assert received == [b"a"]
 
     asyncio.run(async_run())
