--- a/goldcreststair/helpers/__init__.py
+++ b/goldcreststair/helpers/__init__.py
@@ -1,1 +1,1 @@
-"""What components of both daemons use."""
+"""Helpers shared by the components of both daemons."""
--- a/goldcreststair/helpers/fingerprints.py
+++ b/goldcreststair/helpers/fingerprints.py
@@ -1,4 +1,4 @@
-"""Recognises a forwarded request that its caller sends again."""
+"""Fingerprints that identify a forwarded request when its caller sends it again."""
 
 import hashlib
 
@@ -6,7 +6,7 @@
 
 
 def make_call_fingerprint(customer: str, method: str, target: str, body: bytes) -> str:
-    """Return what recognises a request by its caller, path and body, whatever its id.
+    """Return the fingerprint of a request by its customer, method, target and body, without its id.
 
     >>> make_call_fingerprint("a", "POST", "/x", b"1") == make_call_fingerprint("a", "POST", "/x", b"1")
     True
--- a/goldcreststair/helpers/refusals.py
+++ b/goldcreststair/helpers/refusals.py
@@ -1,4 +1,4 @@
-"""Final answers that are not the wanted ones, as callers see them."""
+"""Refusals: final answers that report an error to the caller."""
 
 from dataclasses import dataclass, replace
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class RefusalCode(StrEnum):
-    """Why a request has no answer; part of the callers' interface."""
+    """Reason of a refusal; the values are part of the callers' interface."""
 
     INVALID_REQUEST = "invalid_request"
     INVALID_KEY = "invalid_key"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal(GoldcreststairError):
-    """A final answer that is not the wanted one."""
+    """A final answer that reports an error to the caller."""
 
     code: RefusalCode = RefusalCode.UPSTREAM_FAILED
     status: int = 502
@@ -37,17 +37,17 @@
     not_run: bool = False
     """True only if no upstream ran any part of the request."""
     retry_after_ms: int = 0
-    """When to come back; 0 if coming back does not help."""
+    """Time after which a retry may succeed; 0 if a retry does not help."""
     upstream_body: bytes = b""
-    """The upstream's own error answer, passed on as it is."""
+    """The upstream's own error response, passed on unchanged."""
 
 
 def clear_not_run(refusal: Refusal) -> Refusal:
-    """Return a refusal, given before the claim was read, that is true of all sends of its key.
+    """Return the refusal without "not run", for a request refused before its claim was read.
 
-    A caller whose first send ran and whose connection broke sends again under the same key. Were
-    this send refused as "not run", as it is for a rate limit or while the store is down, the caller
-    would take the booking for not made and make another one elsewhere. Only the claim tells whether
-    an earlier send ran, and it was not read.
+    A caller whose first attempt ran but whose connection broke retries with the same idempotency key.
+    If the retry were refused as "not run", as for a rate limit or while the store is down, the caller
+    would assume that nothing was booked and book again elsewhere. Only the claim shows whether an
+    earlier attempt ran, and it was not read.
     """
     return replace(refusal, not_run=False)
--- a/goldcreststair/helpers/retry_budget.py
+++ b/goldcreststair/helpers/retry_budget.py
@@ -1,11 +1,11 @@
-"""How many repeated runs this VM may cause."""
+"""Retry budget: limits the repeated runs that this VM may cause."""
 
 from typing import Final
 
 BUDGET_FRACTION: Final = 0.2
-"""Repeated runs earned by each request."""
+"""Repeated runs that each request adds to the budget."""
 BUDGET_CAPACITY: Final = 128.0
-"""Repeated runs that may come at once: the requests of one VM at one crashed upstream."""
+"""Repeated runs allowed at once, enough for the requests of one VM at one crashed upstream."""
 
 
 class RetryBudget:
@@ -21,13 +21,13 @@
     def __init__(
         self, fraction: float = BUDGET_FRACTION, capacity: float = BUDGET_CAPACITY
     ) -> None:
-        """Start full, so that a crash soon after a start is recovered from."""
+        """Initialise with a full bucket, so that a crash soon after the start can be recovered."""
         self._fraction = fraction
         self._capacity = capacity
         self._level = capacity
 
     def record_request(self) -> None:
-        """Count one request."""
+        """Record one request, which adds to the budget."""
         self._level = min(self._capacity, self._level + self._fraction)
 
     @property
@@ -36,7 +36,7 @@
         return self._level < 1
 
     def try_spend(self) -> bool:
-        """Spend one repeated run if there is one."""
+        """Spend one repeated run; returns False if none is left."""
         if self.is_spent:
             return False
         self._level -= 1
--- a/goldcreststair/http_exchange.py
+++ b/goldcreststair/http_exchange.py
@@ -73,7 +73,7 @@
     """A request to send, and its timeouts and limits."""
 
     address: str
-    """HOST:PORT with an IP number."""
+    """HOST:PORT with an IP address."""
     method: str
     path: str
     timeout_ms: int
--- a/goldcreststair/upstreams/models.py
+++ b/goldcreststair/upstreams/models.py
@@ -18,7 +18,7 @@
 
     name: str
     address: str
-    """HOST:PORT with an IP number."""
+    """HOST:PORT with an IP address."""
     data_centre: str
     kind: UpstreamKind = UpstreamKind.ENGINE
     models: tuple[str, ...] = ()
