--- a/goldcreststair/components/entry/service.py
+++ b/goldcreststair/components/entry/service.py
@@ -50,7 +50,7 @@
 
 
 class EntryService:
-    """Tells callers which VMs to use, and runs the readiness and the leave of this one."""
+    """Looks up VM addresses for callers; manages the readiness and the leave of this daemon."""
 
     def __init__(self, core: GatewayCore) -> None:
         """Publish this daemon as not ready."""
--- a/goldcreststair/components/forwarding/request.py
+++ b/goldcreststair/components/forwarding/request.py
@@ -265,8 +265,8 @@
             self._placement.note_down(entry, error.message, self._request.request_id)
         elif error.failure is UpstreamFailure.LOST and not error.status:
             begun = self._relay.run_events > 0
-            marks = self._core.get(CRASH_MARKS)
-            marks.report_lost(entry, self._admitted.fingerprint, begun=begun)
+            crash_tracker = self._core.get(CRASH_MARKS)
+            crash_tracker.report_lost(entry, self._admitted.fingerprint, begun=begun)
         elif error.failure is UpstreamFailure.REFUSED:
             self._placement.controller.note_full(entry.name)
 
@@ -312,7 +312,7 @@
     def _on_data(self) -> None:
         self._placement.controller.note_progress(self._upstream)
 
-    def _log(self, event: str, reason: str, **seen: object) -> None:
+    def _log(self, event: str, reason: str, **details: object) -> None:
         _LOGGER.info(
             event,
             extra={
@@ -323,7 +323,7 @@
                 "last_event": self._relay.last_event,
                 "age_ms": self._clock.now() - self._request.arrived_at,
                 "left_ms": self._remaining_ms(),
-                **seen,
+                **details,
             },
         )
 
--- a/goldcreststair/components/forwarding/service.py
+++ b/goldcreststair/components/forwarding/service.py
@@ -60,7 +60,7 @@
         self._board = core.blackboard
         self._links = core.get(FLEET_LINKS)
         self._quotas = core.get(QUOTAS)
-        self._crash_marks = core.get(CRASH_MARKS)
+        self._crash_tracker = core.get(CRASH_MARKS)
         self._job_api = core.get(JOB_DESK)
         self._placement = core.get(PLACEMENT)
         self._durations = RequestDurations(core.clock)
@@ -137,7 +137,7 @@
             customer = identified.ok_value
         name = customer.name if customer is not None else ""
         fingerprint = make_call_fingerprint(name, request.method, request.target, request.body)
-        if self._crash_marks.is_refused(fingerprint):
+        if self._crash_tracker.is_refused(fingerprint):
             message = f"fingerprint {fingerprint} crashed the upstreams that ran it"
             code = RefusalCode.QUARANTINED
             return Err(Refusal(message, code, STATUS_UNAVAILABLE, True))
@@ -148,8 +148,8 @@
         if customer is not None and route.kind is not CallKind.BATCH:
             wait_ms = self._quotas.admit(customer)
             if wait_ms is not None:
-                seen = self._quotas.describe(customer)
-                message = f"rate and burst of {customer.name} are spent: {seen}"
+                usage = self._quotas.describe(customer)
+                message = f"rate and burst of {customer.name} are spent: {usage}"
                 code = RefusalCode.RATE_LIMITED
                 return Err(Refusal(message, code, STATUS_TOO_MANY, True, wait_ms))
         service = choose_service(route, self._core.random.random())
--- a/goldcreststair/http_exchange.py
+++ b/goldcreststair/http_exchange.py
@@ -203,10 +203,10 @@
             await reading
             return False
         while not reading.done():
-            seen = reader.progress
+            progress_before = reader.progress
             await asyncio.wait({reading}, timeout=idle_timeout_ms / MS_PER_SECOND)
             # Silence while a chunk is being processed is caused here: the server's bytes are not read.
-            if not reading.done() and reader.progress == seen and not reader.delivering:
+            if not reading.done() and reader.progress == progress_before and not reader.delivering:
                 return True
         reading.result()
         return False
