--- a/goldcreststair/http_pool.py
+++ b/goldcreststair/http_pool.py
@@ -175,16 +175,16 @@
         self, exchange: Exchange, connect_timeout_ms: int
     ) -> Result[PersistentConnection, ExchangeError]:
         host, _, port = exchange.address.rpartition(":")
-        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        _set_options(sock)
-        connection = PersistentConnection(sock)
+        tcp_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        _set_options(tcp_socket)
+        connection = PersistentConnection(tcp_socket)
         self._by_address.setdefault(exchange.address, _AddressConnections()).open += 1
         self._opened += 1
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(connect_timeout_ms / MS_PER_SECOND):
-                await loop.sock_connect(sock, (host, int(port)))
-                await loop.create_connection(lambda: connection, sock=sock)
+                await loop.sock_connect(tcp_socket, (host, int(port)))
+                await loop.create_connection(lambda: connection, sock=tcp_socket)
         except (TimeoutError, OSError) as error:
             self._close(exchange.address, connection)
             return Err(ExchangeError(f"cannot connect: {error!r}", ExchangeFailure.CONNECT))
@@ -194,14 +194,14 @@
         return Ok(connection)
 
 
-def _set_options(sock: socket.socket) -> None:
-    sock.setblocking(False)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_PROBE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_PROBE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
+def _set_options(tcp_socket: socket.socket) -> None:
+    tcp_socket.setblocking(False)
+    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+    tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_PROBE_S)
+    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_PROBE_S)
+    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
 
 
 def _read_idle_ms(headers: HTTPHeaders) -> int:
--- a/tests/components/keys/test_withdrawal.py
+++ b/tests/components/keys/test_withdrawal.py
@@ -128,8 +128,8 @@
         await daemons[0].core.get(WITHDRAWALS).async_withdraw(KEY_HASH)
         listing = FakePlatform(fleet.clock)
         listing.set_vms([ListedVm(daemons[1].address, "dc1", ListedState.LIVE)])
-        partial = dataclasses.replace(listing.as_platform(), table=fleet.platform)
-        newcomer = await fleet.async_add(partial)
+        mixed_platform = dataclasses.replace(listing.as_platform(), table=fleet.platform)
+        newcomer = await fleet.async_add(mixed_platform)
         for _ in range(200):
             assert not works(newcomer)
             await asyncio.sleep(0.1)
