--- a/goldcreststair/components/forwarding/relay.py
+++ b/goldcreststair/components/forwarding/relay.py
@@ -22,7 +22,7 @@
         on_data: Callable[[], None],
     ) -> None:
         """Continue after event `last_event`; the callbacks report what the upstream sent."""
-        self.streams = True
+        self.wants_chunks = True
         self.last_event = last_event
         self.first_event_at: Millis | None = None
         self.progress_at = clock.now()
--- a/goldcreststair/components/forwarding/request.py
+++ b/goldcreststair/components/forwarding/request.py
@@ -88,7 +88,7 @@
         self._relay = StreamRelay(
             responder, core.clock, self._progress.last_event, self._on_head, self._on_data
         )
-        self._relay.streams = admitted.route.kind is CallKind.STREAMING
+        self._relay.wants_chunks = admitted.route.kind is CallKind.STREAMING
 
     async def async_run(self) -> None:
         """Run the request until the final answer is sent."""
--- a/goldcreststair/components/jobs/runner.py
+++ b/goldcreststair/components/jobs/runner.py
@@ -29,7 +29,7 @@
         on_data: Callable[[], None],
     ) -> None:
         """Go on after the item's last event."""
-        self.streams = True
+        self.wants_chunks = True
         self.progress_at = clock.now()
         self.events = 0
         self.patience = 1 << min(item.silent, MAX_PATIENCE_DOUBLINGS)
--- a/goldcreststair/http_connection.py
+++ b/goldcreststair/http_connection.py
@@ -41,7 +41,7 @@
     on_head: OnHead | None = None
     on_data: OnData | None = None
     """Receives the body of a 200 response in chunks."""
-    is_own: Callable[[HTTPHeaders], bool] | None = None
+    matches_request: Callable[[HTTPHeaders], bool] | None = None
     """Returns by the headers whether the response belongs to this request."""
 
 
@@ -87,8 +87,8 @@
         if self.complete or status < STATUS_OK:
             return
         self._status, self._has_head = status, True
-        is_own = self._hooks.is_own
-        self._foreign = is_own is not None and not is_own(self._headers)
+        matches_request = self._hooks.matches_request
+        self._foreign = matches_request is not None and not matches_request(self._headers)
         if not self._foreign and self._hooks.on_head is not None:
             self._hooks.on_head(status, self._headers)
 
--- a/goldcreststair/upstreams/dialect.py
+++ b/goldcreststair/upstreams/dialect.py
@@ -63,5 +63,5 @@
     def decode_head(self, status: int, headers: Mapping[str, str]) -> RunHead:
         """Return the head of an answer."""
 
-    def is_own(self, call: RunCall, headers: Mapping[str, str]) -> bool:
+    def matches_run(self, call: RunCall, headers: Mapping[str, str]) -> bool:
         """Return whether an answer with these headers belongs to this run and not to another request."""
--- a/goldcreststair/upstreams/runner.py
+++ b/goldcreststair/upstreams/runner.py
@@ -30,7 +30,7 @@
 class RunSink(Protocol):
     """Receives an answer while it arrives."""
 
-    streams: bool
+    wants_chunks: bool
     """Whether the body of a success is passed to `on_data` in chunks, not as a whole at the end."""
 
     def on_head(self, head: RunHead) -> None:
@@ -109,8 +109,8 @@
             body=call.body,
             connect_timeout_ms=CONNECT_TIMEOUT_MS,
         )
-        on_data = sink.on_data if sink.streams else None
-        hooks = ResponseHooks(on_head, on_data, lambda found: dialect.is_own(call, found))
+        on_data = sink.on_data if sink.wants_chunks else None
+        hooks = ResponseHooks(on_head, on_data, lambda found: dialect.matches_run(call, found))
         outcome = await self.pool.async_exchange(exchange, hooks)
         if isinstance(outcome, Err):
             return Err(_convert_error(outcome.err_value))
--- a/standins/run_engines.py
+++ b/standins/run_engines.py
@@ -166,7 +166,7 @@
         sink.on_head(head)
         if status != 200:
             return Ok(RunEnd(head, b"failed"))
-        if not sink.streams:
+        if not sink.wants_chunks:
             return Ok(RunEnd(head, b"whole"))
         for number in range(
             call.resume_after + 1, self.events_of.get(call.request_id, self.events) + 1
--- a/tests/platform_adapter/test_runner.py
+++ b/tests/platform_adapter/test_runner.py
@@ -20,7 +20,7 @@
     """Keeps what comes."""
 
     def __init__(self, streams: bool = True) -> None:
-        self.streams = streams
+        self.wants_chunks = streams
         self.head: RunHead | None = None
         self.data = b""
 
