--- a/goldcreststair/components/entry/service.py
+++ b/goldcreststair/components/entry/service.py
@@ -37,7 +37,7 @@
     """Work that a leaving daemon has to finish or hand over."""
 
     def begin_leave(self) -> None:
-        """Start no new work."""
+        """Start no new work of its own."""
 
     def count_running(self) -> int:
         """Return the number of unfinished pieces of work."""
--- a/goldcreststair/components/forwarding/relay.py
+++ b/goldcreststair/components/forwarding/relay.py
@@ -50,7 +50,7 @@
         self.progress_at = self._clock.now()
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the current run ends with a complete event and no event is missing."""
         return not self._gap and not self._splitter.has_partial_event
 
--- a/goldcreststair/components/forwarding/request.py
+++ b/goldcreststair/components/forwarding/request.py
@@ -123,7 +123,7 @@
         pause_ms = choose_placement_delay(self._progress)
         if pause_ms:
             await self._clock.async_sleep(pause_ms)
-        placed = self._place_back() if next_step is NextStep.BACK else self._place()
+        placed = self._place_at_abandoned() if next_step is NextStep.BACK else self._place()
         # Cutting a begun stream now would waste what the caller has received, although the upstreams
         # may be full or down for a moment only.
         while isinstance(placed, Err) and self._may_wait_for_place():
@@ -137,7 +137,7 @@
             return False
         return self._placement.controller.has_upstream(self._make_query(self._progress.attempted))
 
-    def _place_back(self) -> Result[Placement, Refusal]:
+    def _place_at_abandoned(self) -> Result[Placement, Refusal]:
         while self._progress.abandoned:
             placement = self._placement.controller.place_at(self._progress.abandoned.pop(0))
             if placement is not None:
@@ -151,19 +151,19 @@
             return Err(make_final_refusal(self._progress, error))
         chosen = self._placement.controller.choose(self._make_query(self._progress.excluded))
         if isinstance(chosen, Err) and self._progress.abandoned:
-            return self._place_back()
+            return self._place_at_abandoned()
         if isinstance(chosen, Err):
             error = UpstreamError(chosen.err_value.message, UpstreamFailure.CONNECT)
             return Err(make_final_refusal(self._progress, error, chosen.err_value.retry_after_ms))
         placement = chosen.ok_value
         time = CallerTime(self._route.objective_ms, self._route.timeout_ms, self._remaining_ms())
-        return_ms = None
+        retry_after_ms = None
         if not self._progress.attempts and not self._progress.excluded:
-            return_ms = decide_return(placement, time, self._core.random)
-        if return_ms is None:
+            retry_after_ms = decide_return(placement, time, self._core.random)
+        if retry_after_ms is None:
             return Ok(placement)
         message = f"first event expected after {placement.expected_ms:.0f} ms"
-        return Err(make_retryable_refusal(message, RefusalCode.OVERLOADED, return_ms))
+        return Err(make_retryable_refusal(message, RefusalCode.OVERLOADED, retry_after_ms))
 
     def _is_out_of_time(self) -> bool:
         """Return whether a request that was already sent to an upstream has no time to be sent again."""
@@ -247,7 +247,7 @@
     def _is_final(self, end: RunEnd) -> bool:
         if end.head.status >= STATUS_FAILED:
             return False
-        return end.head.status != STATUS_OK or self._relay.is_whole
+        return end.head.status != STATUS_OK or self._relay.is_complete
 
     def _record_failure(self, placement: Placement, error: UpstreamError) -> None:
         progress = self._progress
--- a/goldcreststair/components/forwarding/service.py
+++ b/goldcreststair/components/forwarding/service.py
@@ -91,7 +91,7 @@
     async def _async_admit_when_settled(
         self, request: CallerRequest
     ) -> Result[AdmittedRequest, Refusal]:
-        """Return the result of `admit`, waiting while quotas settle if it is a rate limit."""
+        """Admit a request; a rate-limit refusal is retried while the quotas still settle."""
         admitted = self.admit(request)
         # After a loss of all VMs the callers return within moments, before the daemons receive each
         # other's beacons. A daemon that admits only a two-hundredth of each quota would refuse most of
