--- a/goldcreststair/components/entry/service.py
+++ b/goldcreststair/components/entry/service.py
@@ -37,7 +37,7 @@
     """Work that a leaving daemon has to finish or hand over."""
 
     def begin_leave(self) -> None:
-        """Start no new work."""
+        """Start no new work of its own."""
 
     def count_running(self) -> int:
         """Return the number of unfinished pieces of work."""
@@ -50,7 +50,7 @@
 
 
 class EntryService:
-    """Tells callers which VMs to use, and runs the readiness and the leave of this one."""
+    """Looks up VM addresses for callers; manages the readiness and the leave of this daemon."""
 
     def __init__(self, core: GatewayCore) -> None:
         """Publish this daemon as not ready."""
--- a/goldcreststair/components/forwarding/relay.py
+++ b/goldcreststair/components/forwarding/relay.py
@@ -22,7 +22,7 @@
         on_data: Callable[[], None],
     ) -> None:
         """Continue after event `last_event`; the callbacks report what the upstream sent."""
-        self.streams = True
+        self.wants_chunks = True
         self.last_event = last_event
         self.first_event_at: Millis | None = None
         self.progress_at = clock.now()
@@ -50,7 +50,7 @@
         self.progress_at = self._clock.now()
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the current run ends with a complete event and no event is missing."""
         return not self._gap and not self._splitter.has_partial_event
 
--- a/goldcreststair/components/jobs/runner.py
+++ b/goldcreststair/components/jobs/runner.py
@@ -33,7 +33,7 @@
         report_data: Callable[[], None],
     ) -> None:
         """Continue after the item's last event; callbacks report heads and data."""
-        self.streams = True
+        self.wants_chunks = True
         self.last_progress_at = clock.now()
         self.events = 0
         self.timeout_factor = 1 << min(item.silent_runs, MAX_TIMEOUT_DOUBLINGS)
