--- a/goldcreststair/__main__.py
+++ b/goldcreststair/__main__.py
@@ -1,4 +1,4 @@
-"""The daemon's command: `goldcreststaird`."""
+"""Command line of the daemon `goldcreststaird`."""
 
 import asyncio
 import sys
--- a/goldcreststair/blackboard.py
+++ b/goldcreststair/blackboard.py
@@ -1,4 +1,4 @@
-"""Named sections of facts and decisions, each with one writer and any number of readers."""
+"""Shared state in named sections, each with one writer and any number of readers and subscribers."""
 
 import logging
 from collections.abc import Callable
@@ -18,20 +18,20 @@
 
 
 class SectionWriter(Generic[T]):
-    """The right to write one section."""
+    """Writes one section; only one writer exists for each."""
 
     def __init__(self, board: "Blackboard", key: SectionKey[T]) -> None:
-        """Bind the writer to its section."""
+        """Create the writer of the section `key`."""
         self._board = board
         self._key = key
 
     def write(self, value: T) -> None:
-        """Replace the section's value and tell its subscribers if it changed."""
+        """Replace the section's value; subscribers are called if it changed."""
         self._board._write(self._key.name, value)
 
 
 class Blackboard:
-    """All that controllers know and have decided.
+    """State that components share: observed facts and decisions.
 
     >>> board = Blackboard()
     >>> key = SectionKey[int]("answer")
@@ -44,7 +44,7 @@
     """
 
     def __init__(self) -> None:
-        """Start with no sections."""
+        """Create a blackboard without sections."""
         self._values: dict[str, Any] = {}
         self._subscribers: dict[str, list[Callable[[Any], None]]] = {}
 
@@ -66,7 +66,7 @@
         return value
 
     def subscribe(self, key: SectionKey[T], callback: Callable[[T], None]) -> Callable[[], None]:
-        """Call `callback` at every change; returns a function that ends this."""
+        """Call `callback` with each new value; returns a function that unsubscribes it."""
         subscribers = self._subscribers.setdefault(key.name, [])
         subscribers.append(callback)
 
@@ -81,7 +81,7 @@
             return
         self._values[name] = value
         for callback in tuple(self._subscribers.get(name, ())):
-            # One faulty subscriber must not hide a fact from the others.
+            # A failing subscriber must not keep the others from being called.
             try:
                 callback(value)
             except Exception:
--- a/goldcreststair/bootstrap.py
+++ b/goldcreststair/bootstrap.py
@@ -1,4 +1,4 @@
-"""Builds one daemon: the core, its components in order, the HTTP server, and a clean stop."""
+"""Builds, starts and stops one daemon: the core, its components in order, and the HTTP server."""
 
 import asyncio
 import logging
@@ -72,7 +72,7 @@
 
 
 def create_core(settings: Settings, clock: Clock) -> Core:
-    """Return a core that talks to the real platform and upstreams."""
+    """Return a core that uses the real platform and upstreams."""
     seed = settings.seed or secrets.randbits(64)
     return Core(
         settings=settings,
@@ -92,14 +92,14 @@
     """One running daemon."""
 
     def __init__(self, core: Core) -> None:
-        """Take the core; nothing runs yet."""
+        """Create a daemon on `core`; nothing is started yet."""
         self._core = core
         self._components: list[Component] = []
         self._server: DaemonServer | None = None
-        self._asked_to_leave = False
+        self._leave_requested = False
 
     async def async_start(self) -> None:
-        """Bind, set up and start every component, then serve."""
+        """Bind the port, set up and start every component, then serve."""
         core = self._core
         sockets = bind_sockets(core.settings.http_port, core.settings.address)
         core.http_port = sockets[0].getsockname()[1]
@@ -111,19 +111,19 @@
         self._server.start(sockets)
         address = f"{core.settings.address}:{core.http_port}"
         _LOGGER.info("Serving", extra={"listening": address, "session": core.session_id})
-        if self._asked_to_leave:
+        if self._leave_requested:
             self.leave()
 
     def leave(self) -> None:
-        """Begin a graceful shutdown; asking again changes nothing, so it cuts no request."""
-        self._asked_to_leave = True
-        # A signal that comes while components start must not leave half of them behind.
+        """Begin a graceful shutdown; further calls have no effect, so they cut no request."""
+        self._leave_requested = True
+        # A signal during the start is handled once all components run, so that all of them are closed.
         if self._server is None:
             return
         self._core.get(SHUTDOWN_SERVICE).begin(LeaveReason.SIGNAL)
 
     async def async_wait(self) -> None:
-        """Return when the daemon has left, for whatever reason."""
+        """Return once the daemon has left the fleet, for whatever reason."""
         await self._core.get(SHUTDOWN_SERVICE).async_wait()
 
     async def async_close(self) -> None:
@@ -137,7 +137,7 @@
 
 
 async def async_run(settings: Settings) -> None:
-    """Run a daemon until it has left the fleet, as SIGTERM and SIGINT ask it to."""
+    """Run a daemon until it has left the fleet; SIGTERM and SIGINT make it leave."""
     daemon = Daemon(create_core(settings, LoopClock()))
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, daemon.leave)
--- a/goldcreststair/clock.py
+++ b/goldcreststair/clock.py
@@ -1,4 +1,4 @@
-"""The only source of time: integer milliseconds that never go back."""
+"""The only source of time: monotonic, in integer milliseconds."""
 
 import asyncio
 import time
@@ -12,10 +12,10 @@
 
 
 class TimerHandle(Protocol):
-    """A scheduled call that can be taken back."""
+    """A scheduled call that can be cancelled."""
 
     def cancel(self) -> None:
-        """Take the call back; does nothing after it ran."""
+        """Cancel the call; has no effect after it ran."""
 
 
 class Clock(Protocol):
@@ -28,7 +28,7 @@
         """Run `callback` once after `delay_ms`."""
 
     def read_utc_s(self) -> int:
-        """Return the seconds since 1970, for reports only: they are never compared between VMs."""
+        """Return the seconds since 1970, for reports only: they must not be compared between VMs."""
 
     async def async_sleep(self, delay_ms: int) -> None:
         """Wait `delay_ms`."""
@@ -38,7 +38,7 @@
     """The time of the running event loop, real or virtual."""
 
     def __init__(self, utc_start_s: float | None = None) -> None:
-        """Take the date of the loop's time 0; by default today's, from the machine's clock."""
+        """Set the UTC time, s since 1970, of the loop's time 0; by default from the machine's clock."""
         start = time.time() - time.monotonic() if utc_start_s is None else utc_start_s
         self._utc_start_s = start
 
@@ -62,9 +62,9 @@
 class BootClock(LoopClock):
     """Time since the machine's boot, which goes on while a VM is suspended.
 
-    The loop's own time stands still in a suspension: a lease or a belief that ran out meanwhile would
-    seem young when the VM wakes. Waits still use the loop, so they end late after a suspension and
-    what follows them compares ages again.
+    The loop's clock does not advance during a suspension: a lease or an estimate that expired meanwhile
+    would seem recent when the VM resumes. Waits still use the loop's clock, so they end late after a
+    suspension; code that runs after a wait checks ages again.
     """
 
     def now(self) -> Millis:
--- a/goldcreststair/core.py
+++ b/goldcreststair/core.py
@@ -1,4 +1,4 @@
-"""What every component is given: settings, clock, blackboard, platform and its fellow components."""
+"""The core passed to every component: settings, clock, blackboard, platform and the other components."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any, Generic, Protocol, TypeVar
 
 if TYPE_CHECKING:
-    # The gateway daemon uses only the registry, and has to start quickly.
+    # The gateway daemon uses only the registry of this module, and has to start quickly.
     from tornado.routing import Rule
 
     from goldcreststair.blackboard import Blackboard
@@ -24,23 +24,23 @@
 
 @dataclass(frozen=True)
 class ComponentKey(Generic[T]):
-    """The typed name under which a component offers itself to the others."""
+    """The typed name under which a component is registered for the others."""
 
     name: str
 
 
 class Component(Protocol):
-    """A part with an explicit start and close; started in order, closed in reverse."""
+    """A part of a daemon; components are started in order and closed in reverse."""
 
     async def async_start(self) -> None:
-        """Begin work."""
+        """Start the component's tasks and listeners."""
 
     async def async_close(self) -> None:
-        """End work and release everything; safe to call twice."""
+        """Stop them and release all resources; safe to call twice."""
 
 
 class PassiveComponent:
-    """A component that runs nothing of its own."""
+    """A component without tasks of its own."""
 
     async def async_start(self) -> None:
         """Do nothing."""
@@ -53,21 +53,21 @@
     """Work that a graceful shutdown waits for."""
 
     async def async_drain(self, deadline_ms: int) -> None:
-        """Take no new work of its own and return when the rest has ended, or at the deadline.
+        """Start no new work; return when running work has ended, or at the deadline.
 
-        The deadline is a point on the core's clock.
+        The deadline is a time on the core's clock, ms.
         """
 
 
 class ComponentRegistry:
-    """What components offer to those that are set up after them."""
+    """Components by key, for those that are set up after them."""
 
     def __init__(self) -> None:
-        """Start without components."""
+        """Create an empty registry."""
         self._components: dict[str, Any] = {}
 
     def offer(self, key: ComponentKey[T], component: T) -> None:
-        """Make a component known to those set up after it."""
+        """Register a component for those set up after it."""
         self._components[key.name] = component
 
     def get(self, key: ComponentKey[T]) -> T:
@@ -95,15 +95,15 @@
     upstreams: UpstreamClients
     transport: PeerTransport
     session_id: str
-    """Names this run of the daemon, never used again after a restart; changes if it expired."""
+    """Identifies this run of the daemon; never reused after a restart, and replaced if it expired."""
     http_port: int = 0
-    """The port really bound, known before components are set up."""
+    """The bound HTTP port, set before components are set up."""
     peer_port: int = 0
-    """The peer port really bound, known once the peers component is set up."""
+    """The bound peer port, set once the peers component is set up."""
     drainables: list[Drainable] = field(default_factory=list)
-    """What must come to its end in a graceful shutdown; drained in reverse order of registration.
+    """Work that a graceful shutdown waits for; drained in reverse order of registration.
 
-    The first one (the ledger) comes last, and a part of the time is kept back for it.
+    The first one (the ledger) is drained last, and part of the time is reserved for it.
     """
     routes: list[Rule] = field(default_factory=list)
     """HTTP routes that components add while they are set up."""
--- a/goldcreststair/errors.py
+++ b/goldcreststair/errors.py
@@ -1,11 +1,11 @@
-"""The root of every layer's errors."""
+"""Base class of all error values."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class GoldcreststairError:
-    """An error value; each layer derives its own and turns those from below into them."""
+    """An error value; each layer has its own subclasses and converts errors of lower layers to them."""
 
     message: str
-    """What happened, for an operator; never holds a key or a request body."""
+    """Description for operators; must not contain a key or a request body."""
--- a/goldcreststair/garbage_collection.py
+++ b/goldcreststair/garbage_collection.py
@@ -1,12 +1,12 @@
-"""Python's collector of cyclic garbage, for a process that lives long."""
+"""Tunes Python's cyclic garbage collector for a long-lived process."""
 
 import gc
 
 
 def freeze_startup_objects() -> None:
-    """Leave out of each collection what a start has made; called once, when the daemon has started.
+    """Exclude the objects of the start from later collections; called once, when the daemon has started.
 
-    It lives as long as the process: walked through at each full collection, it shows as a pause in all
+    These objects live as long as the process. Traversing them in each full collection would pause all
     streams of a small VM.
     """
     gc.collect()
--- a/goldcreststair/gateway.py
+++ b/goldcreststair/gateway.py
@@ -1,4 +1,4 @@
-"""Builds one gateway daemon: the core, its components in order, and a clean stop."""
+"""Builds, starts and stops one gateway daemon: the core and its components in order."""
 
 import logging
 import random
@@ -60,7 +60,7 @@
 def create_gateway_core(
     settings: GatewaySettings, clock: Clock, adapter: GatewayAdapter, runner: Runner
 ) -> GatewayCore:
-    """Return a core that talks to the real network."""
+    """Return a core that uses the real network."""
     meters = Meters(create_statistics(settings.statsd_address))
     contact = StoreContact(clock)
     return GatewayCore(
@@ -79,13 +79,13 @@
 
 
 class Gateway:
-    """One running gateway daemon, without the servers that an adapter puts before it."""
+    """One running gateway daemon; the platform's adapter adds the servers for callers."""
 
     def __init__(self, core: GatewayCore) -> None:
-        """Take the core; nothing runs yet."""
+        """Create a daemon on `core`; nothing is started yet."""
         self.core = core
         self._components: list[Component] = []
-        self._asked_to_leave = False
+        self._leave_requested = False
         self._started = False
 
     async def async_start(self) -> None:
@@ -102,22 +102,22 @@
             "data_centre": settings.data_centre,
         }
         _LOGGER.info("Started", extra=extra)
-        if self._asked_to_leave:
+        if self._leave_requested:
             self.leave()
 
     def leave(self) -> None:
-        """Begin a graceful shutdown; asking again changes nothing, so it cuts no request."""
-        self._asked_to_leave = True
-        # A signal that comes while components start must not leave half of them behind.
+        """Begin a graceful shutdown; further calls have no effect, so they cut no request."""
+        self._leave_requested = True
+        # A signal during the start is handled once all components run, so that all of them are closed.
         if self._started:
             self.core.get(ENTRY).leave()
 
     async def async_wait(self) -> None:
-        """Return when the daemon has left."""
+        """Return once the daemon has finished leaving."""
         await self.core.get(ENTRY).async_wait()
 
     async def async_close(self) -> None:
-        """Take this daemon off the list and close every component in reverse."""
+        """Remove this daemon from the fleet and close every component in reverse order."""
         await self.core.get(FLEET_LINKS).async_leave()
         for component in reversed(self._components):
             await component.async_close()
--- a/goldcreststair/gateway_core.py
+++ b/goldcreststair/gateway_core.py
@@ -1,4 +1,4 @@
-"""What every component of a gateway daemon is given."""
+"""The core passed to every component of a gateway daemon."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from goldcreststair.upstreams.runner import Runner
 
 if TYPE_CHECKING:
-    # The components import this module while they are imported.
+    # Imported for types only: these components import this module, which would be a cycle.
     from goldcreststair.components.catalogue.protocols import CatalogueReader
     from goldcreststair.components.discovery.protocols import UpstreamReader
     from goldcreststair.components.evacuation.protocols import EvacuationReader
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayAdapter:
-    """What a platform brings: its store, and how its documents read."""
+    """A platform's store, and the readers of its documents."""
 
     store: RowStore
     catalogue_reader: CatalogueReader
@@ -52,7 +52,7 @@
     datagrams: DatagramTransport
     transport: PeerTransport
     session_id: str
-    """Names this run of the daemon, never used again after a restart."""
+    """Identifies this run of the daemon; never reused after a restart."""
     on_process_resumed: list[Callable[[int], None]] = field(default_factory=list)
-    """Called with the ms that this process stood still, before it decides anything by age."""
+    """Called after a pause of this process, with its length in ms, before any decision based on ages."""
     _components: dict[str, Any] = field(default_factory=dict)
--- a/goldcreststair/gateway_settings.py
+++ b/goldcreststair/gateway_settings.py
@@ -1,4 +1,4 @@
-"""The gateway daemon's settings, from flags, environment variables and a file; checked at start."""
+"""Settings of the gateway daemon, from flags, environment variables and a file; checked at start."""
 
 import tomllib
 from dataclasses import dataclass, fields
@@ -21,22 +21,22 @@
 
 @dataclass(frozen=True)
 class GatewaySettings:
-    """Everything a gateway daemon is told at its start; all else is in the store."""
+    """Settings given at the start; all other configuration is in the store."""
 
     address: str
-    """IP number of this VM, as others reach it."""
+    """IP address at which others reach this VM."""
     data_centre: str
-    """Data centre this VM stands in."""
+    """Data centre of this VM."""
     store_address: str
     """HOST:PORT of the platform's store."""
     region: str = "default"
     """Region of the data centre."""
     data_centre_regions: str = ""
-    """DATA_CENTRE=REGION of all data centres, joined by commas."""
+    """DATA_CENTRE=REGION of all data centres, separated by commas."""
     front: str = ""
     """HOST:PORT for callers."""
     entry: str = ""
-    """HOST:PORT for address questions; empty for none."""
+    """HOST:PORT for address lookups; empty for none."""
     ready: str = ""
     """HOST:PORT of the readiness check; empty for none."""
     peer_port: int = DEFAULT_PEER_PORT
@@ -44,25 +44,25 @@
     metrics_port: int = 0
     """Port of the metrics page; 0 for none."""
     seeds: str = ""
-    """IP numbers of some daemons, joined by commas."""
+    """IP addresses of some daemons, separated by commas."""
     memory_mb: int = DEFAULT_MEMORY_MB
-    """Memory of this process."""
+    """Memory available to this process, MB."""
     log_level: str = "info"
     """debug, info, warning or error."""
     statsd_address: str = ""
     """HOST:PORT of statsd; empty for none."""
     seed: int = 0
-    """Seed of random choices; 0 takes a fresh one."""
+    """Seed of random choices; 0 for a random seed."""
     answer_ttl_s: int = 1
-    """How long callers may keep addresses, s."""
+    """How long callers may cache addresses, s."""
     grace_s: float = 8.0
-    """Time from SIGTERM to a kill, s."""
+    """Time from SIGTERM to SIGKILL, s."""
     job_read_s: float = 120.0
-    """A job stays readable so long after it was submitted, s."""
+    """How long a job can be read after its submission, s."""
 
     @property
     def regions(self) -> dict[str, str]:
-        """Region of each data centre that is known at the start.
+        """Region by data centre, as known at the start.
 
         >>> GatewaySettings("1.2.3.4", "a", "", region="r", data_centre_regions="b=q").regions
         {'a': 'r', 'b': 'q'}
@@ -72,13 +72,16 @@
 
     @property
     def seed_addresses(self) -> tuple[str, ...]:
-        """The seeds, without this VM itself."""
+        """Addresses of the seeds, without this VM's own."""
         seeds = (seed.strip() for seed in self.seeds.split(","))
         return tuple(seed for seed in seeds if seed and seed != self.address)
 
 
 def read_settings_text(text: str) -> GatewaySettings | None:
-    """Return the settings that a TOML text gives in full, or None where the command line has to judge."""
+    """Return the settings from a TOML text.
+
+    Returns None if one is missing, unknown or of the wrong type: the command line then reports it.
+    """
     try:
         values: dict[str, Any] = tomllib.loads(text)
     except tomllib.TOMLDecodeError:
@@ -93,7 +96,7 @@
 
 
 def check_gateway_settings(settings: GatewaySettings) -> Result[GatewaySettings, SettingsError]:
-    """Return the settings, or the first one that cannot be used."""
+    """Return the settings, or an error that names the first invalid one."""
     for name, problem in _find_problems(settings):
         if problem:
             return Err(SettingsError(problem, name))
@@ -122,8 +125,8 @@
 
 def _check_pairs(text: str) -> str:
     pairs = (pair.split("=") for pair in text.split(",") if pair)
-    wrong = ["=".join(pair) for pair in pairs if len(pair) != 2 or not all(pair)]
-    return f"{wrong[0]!r} is not DATA_CENTRE=REGION" if wrong else ""
+    invalid = ["=".join(pair) for pair in pairs if len(pair) != 2 or not all(pair)]
+    return f"{invalid[0]!r} is not DATA_CENTRE=REGION" if invalid else ""
 
 
 def _check_endpoint(text: str) -> str:
--- a/goldcreststair/journal.py
+++ b/goldcreststair/journal.py
@@ -1,4 +1,4 @@
-"""A bounded record of decisions: what was seen, what was chosen and why."""
+"""A bounded record of decisions: the observed facts, the choice and its reason."""
 
 from collections import deque
 from collections.abc import Iterable, Mapping
@@ -12,7 +12,7 @@
 
 
 class Subject(StrEnum):
-    """What kind of thing a decision was about."""
+    """Kind of the object that a decision concerns."""
 
     REQUEST = "request"
     JOB = "job"
@@ -36,7 +36,7 @@
 
 
 class Journal:
-    """The last events of this daemon, oldest first; old ones fall out."""
+    """The latest events of this daemon, oldest first; the oldest are dropped when it is full."""
 
     def __init__(self, clock: Clock, capacity: int = DEFAULT_JOURNAL_EVENTS) -> None:
         """Keep at most `capacity` events."""
@@ -51,9 +51,9 @@
         reason: str,
         **seen: str | int | float | bool,
     ) -> None:
-        """Add one decision; `seen` are the facts it rested on."""
+        """Add one decision; `seen` are the facts it is based on."""
         self._events.append(Event(self._clock.now(), subject, subject_id, choice, reason, seen))
 
     def find(self, subject: Subject, subject_id: str) -> Iterable[Event]:
-        """Return the events about one thing, oldest first."""
+        """Return the events about one object, oldest first."""
         return [e for e in self._events if e.subject == subject and e.subject_id == subject_id]
--- a/goldcreststair/line_writer.py
+++ b/goldcreststair/line_writer.py
@@ -1,4 +1,4 @@
-"""Writes lines to a descriptor without ever waiting for its reader."""
+"""Writes lines to a file descriptor without ever blocking on a slow reader."""
 
 import asyncio
 import os
@@ -9,22 +9,22 @@
 import orjson
 
 MAX_QUEUED_BYTES: Final = 256 * 1024
-"""Lines that wait for a slow reader: some seconds of them, and little beside a daemon's memory."""
+"""Limit of the queue for a slow reader: some seconds of log lines, small next to a daemon's memory."""
 FINAL_WAIT_S: Final = 0.2
-"""How long the end of the process waits for a slow reader."""
+"""How long `close` waits for a slow reader."""
 
 
 class LineWriter:
-    """Queues lines, writes them when the descriptor takes them, and drops what does not fit.
+    """Queues lines, writes them when the descriptor is writable, and drops what exceeds the queue.
 
-    A log whose reader stopped would fill its pipe, and the next write stop the whole process: every
-    request would hang for a line nobody reads.
+    If the reader of a log stopped, the pipe would fill and the next blocking write would stop the whole
+    process, with all its requests.
     """
 
     def __init__(self, descriptor: int, max_bytes: int = MAX_QUEUED_BYTES) -> None:
-        """Take the descriptor over and never let it block."""
+        """Write to `descriptor`, which is set to non-blocking mode."""
         self.dropped = 0
-        """Lines dropped since the last line that told of them."""
+        """Lines dropped since the last line that reported their number."""
         self._descriptor = descriptor
         self._max_bytes = max_bytes
         self._queue: deque[tuple[bool, bytes]] = deque()
@@ -34,7 +34,7 @@
         os.set_blocking(descriptor, False)
 
     def put(self, line: bytes, *, important: bool) -> None:
-        """Queue a line; an ordinary one is dropped first if there is no room."""
+        """Queue a line; if the queue is full, lines that are not important are dropped first."""
         if self._bytes + len(line) > self._max_bytes and not self._make_room(line, important):
             self.dropped += 1
             return
@@ -43,9 +43,9 @@
         self._schedule()
 
     def flush(self) -> None:
-        """Write what the descriptor takes now."""
+        """Write what the descriptor accepts without blocking."""
         self._scheduled = False
-        self._note_dropped()
+        self._queue_dropped_count()
         while self._queue:
             lines = b"".join(line for _, line in self._queue)
             try:
@@ -54,15 +54,15 @@
                 self._watch()
                 return
             except OSError:
-                # Nobody will ever read this descriptor again.
+                # The reader has closed its end for good.
                 self._queue.clear()
                 self._bytes = 0
                 return
-            self._take_written(written)
+            self._remove_written(written)
         self._unwatch()
 
     def close(self) -> None:
-        """Write the rest, for a moment at most."""
+        """Write the rest of the queue, waiting for `FINAL_WAIT_S` at most."""
         self.flush()
         self._unwatch()
         if self._queue and select.select([], [self._descriptor], [], FINAL_WAIT_S)[1]:
@@ -72,16 +72,16 @@
         if not important:
             return False
         kept: deque[tuple[bool, bytes]] = deque()
-        for kind, queued in self._queue:
-            if kind or self._bytes + len(line) <= self._max_bytes:
-                kept.append((kind, queued))
+        for queued_important, queued in self._queue:
+            if queued_important or self._bytes + len(line) <= self._max_bytes:
+                kept.append((queued_important, queued))
             else:
                 self._bytes -= len(queued)
                 self.dropped += 1
         self._queue = kept
         return self._bytes + len(line) <= self._max_bytes
 
-    def _note_dropped(self) -> None:
+    def _queue_dropped_count(self) -> None:
         if self.dropped and self._bytes < self._max_bytes // 2:
             event = {"level": "warning", "event": "Lines dropped", "dropped": self.dropped}
             self.dropped = 0
@@ -89,7 +89,7 @@
             self._queue.append((True, line))
             self._bytes += len(line)
 
-    def _take_written(self, written: int) -> None:
+    def _remove_written(self, written: int) -> None:
         self._bytes -= written
         while written:
             important, line = self._queue.popleft()
@@ -99,7 +99,7 @@
             written -= len(line)
 
     def _schedule(self) -> None:
-        """Write all lines of one turn of the loop together."""
+        """Schedule one write for all lines queued in the current iteration of the event loop."""
         if self._scheduled or self._watching is not None:
             return
         try:
@@ -117,7 +117,7 @@
             loop = asyncio.get_running_loop()
             loop.add_writer(self._descriptor, self.flush)
         except (RuntimeError, PermissionError, OSError):
-            # Outside a loop, or a kind of file that cannot be watched: the next line tries again.
+            # No running loop, or a kind of file that cannot be watched: the next line retries the write.
             return
         self._watching = loop
 
--- a/goldcreststair/log.py
+++ b/goldcreststair/log.py
@@ -1,4 +1,4 @@
-"""Log records as JSON lines, bounded in volume, and never waited for."""
+"""Writes log records as JSON lines, rate-limited by kind and without blocking."""
 
 import logging
 import sys
@@ -12,12 +12,12 @@
 from goldcreststair.line_writer import LineWriter
 
 LINES_PER_S: Final = 25.0
-"""Lines of one kind and second; beyond them a sample is written, with the count of what was left out.
-A VM serves some 40 requests a second at the size that is designed for, and a line costs 40 us."""
+"""Lines of one kind per second; beyond that only a sample is written, with the count of omitted lines.
+The design load is some 40 requests per second and VM, and writing a line costs 40 us."""
 BURST_LINES: Final = 100.0
-"""Lines of one kind that may come at once."""
+"""Lines of one kind that may be written at once."""
 IMPORTANT_LINES_PER_S: Final = 100.0
-"""The same for warnings and errors, which tell of failures and of changes of belief."""
+"""The same for warnings and errors, which report failures and changes of assumed states."""
 
 _STANDARD: Final = frozenset(
     vars(logging.LogRecord("", 0, "", 0, "", None, None)).keys() | {"message", "asctime"}
@@ -25,10 +25,10 @@
 
 
 class JsonLineFormatter(logging.Formatter):
-    """Turn a record and its `extra` fields into one JSON object on one line."""
+    """Formats a record and its `extra` fields as one JSON object on one line."""
 
     def __init__(self, fields: Mapping[str, str] | None = None) -> None:
-        """Put `fields` on every line, as the VM's address."""
+        """Add `fields` to every line, such as the VM's address."""
         super().__init__()
         self._fields = dict(fields or {})
 
@@ -49,54 +49,54 @@
 
 
 class SampleFilter(logging.Filter):
-    """Lets so many lines of one kind pass in a second; the next one says how many were left out.
+    """Limits the lines of one kind per second; the next line says how many were omitted.
 
-    Without it a failure that touches every request writes as many lines as there are requests, and the
-    lines that tell of its cause drown in them.
+    A kind is a logger with a message. Without the limit, a failure that affects every request writes a
+    line for each of them, and lines about its cause are lost among them.
     """
 
     def __init__(self) -> None:
-        """Start with full budgets."""
+        """Create a filter that has passed no lines yet."""
         super().__init__()
-        self._budgets: dict[tuple[str, object], _Budget] = {}
+        self._buckets: dict[tuple[str, object], _TokenBucket] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Return whether to write a record."""
         important = record.levelno >= logging.WARNING
         kind = (record.name, record.msg)
-        budget = self._budgets.get(kind)
-        if budget is None:
+        bucket = self._buckets.get(kind)
+        if bucket is None:
             rate = IMPORTANT_LINES_PER_S if important else LINES_PER_S
-            budget = self._budgets[kind] = _Budget(rate)
-        if not budget.take(time.monotonic()):
+            bucket = self._buckets[kind] = _TokenBucket(rate)
+        if not bucket.try_consume(time.monotonic()):
             return False
-        if budget.left_out:
-            record.left_out = budget.left_out
-            budget.left_out = 0
+        if bucket.left_out:
+            record.left_out = bucket.left_out
+            bucket.left_out = 0
         return True
 
 
-class _Budget:
-    """The lines of one kind."""
+class _TokenBucket:
+    """Rate limit of the lines of one kind; counts the lines that it refused."""
 
     def __init__(self, rate: float) -> None:
         self.left_out = 0
         self._rate = rate
-        self._level = BURST_LINES
-        self._at = time.monotonic()
+        self._tokens = BURST_LINES
+        self._updated_at = time.monotonic()
 
-    def take(self, now: float) -> bool:
-        self._level = min(BURST_LINES, self._level + (now - self._at) * self._rate)
-        self._at = now
-        if self._level < 1:
+    def try_consume(self, now: float) -> bool:
+        self._tokens = min(BURST_LINES, self._tokens + (now - self._updated_at) * self._rate)
+        self._updated_at = now
+        if self._tokens < 1:
             self.left_out += 1
             return False
-        self._level -= 1
+        self._tokens -= 1
         return True
 
 
 class LineHandler(logging.Handler):
-    """Hands lines to a writer that drops rather than waits."""
+    """Passes lines to a writer that drops lines instead of blocking."""
 
     def __init__(self, writer: LineWriter) -> None:
         """Write through `writer`."""
@@ -113,14 +113,17 @@
         self._writer.put(line, important=record.levelno >= logging.WARNING)
 
     def flush(self) -> None:
-        """Write what can be written now."""
+        """Write what can be written without blocking."""
         self._writer.flush()
 
 
 def configure_logging(
     level: str, fields: Mapping[str, str] | None = None, stream: TextIO | None = None
 ) -> LineWriter:
-    """Send every record of `level` and above to standard output as JSON lines."""
+    """Log records of `level` and above as JSON lines to `stream`, by default standard output.
+
+    `fields` are added to every line. Close the returned writer at the end of the process.
+    """
     writer = LineWriter((stream or sys.stdout).fileno())
     handler = LineHandler(writer)
     handler.setFormatter(JsonLineFormatter(fields))
--- a/goldcreststair/meters.py
+++ b/goldcreststair/meters.py
@@ -1,4 +1,4 @@
-"""What a gateway daemon counts and times, for its metrics page and for statsd.
+"""Counters, gauges and histograms of a gateway daemon, for its metrics page and for statsd.
 
 The number of series is bounded: labels are kinds, outcomes and codes, never customers or ids.
 """
@@ -17,33 +17,34 @@
 
 PREFIX: Final = "goldcreststair"
 SECONDS: Final = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.5, 5.0)
-"""Bounds of times that callers wait; 0.3 s is the objective of the first event in use today."""
+"""Bucket bounds for callers' waiting times, s; 0.3 s is the current objective for the first event."""
 SHORT_SECONDS: Final = (0.001, 0.002, 0.005, 0.01, 0.025, 0.1, 0.5, 2.0)
-"""Bounds of calls of the store and of pauses of the loop."""
+"""Bucket bounds for store calls and for pauses of the event loop, s."""
 CONTENT_TYPE: Final = "application/openmetrics-text; version=1.0.0; charset=utf-8"
 
 Labels = tuple[str, ...]
 
 
 @dataclass(slots=True)
-class _Counts:
-    """Counters of one name."""
+class _Counter:
+    """One counter, with its values by labels."""
 
-    text: str
+    help_text: str
     labels: Labels = ()
     values: dict[Labels, float] = field(default_factory=lambda: defaultdict(float))
 
 
 @dataclass(slots=True)
-class _Times:
-    """Histograms of one name, in seconds."""
+class _Histogram:
+    """One histogram of times in seconds, with its buckets by labels."""
 
-    text: str
+    help_text: str
     bounds: tuple[float, ...]
     labels: Labels = ()
     sums: dict[Labels, float] = field(default_factory=lambda: defaultdict(float))
     counts: dict[Labels, list[int]] = field(default_factory=dict)
-    """By labels: how many lie up to each bound and above the one before; the last ones lie above all."""
+    """By labels: how many values are at most each bound and above the one before; the last count is for
+    values above all bounds."""
 
     def observe(self, labels: Labels, value_s: float) -> None:
         """Record one time."""
@@ -52,7 +53,7 @@
         self.sums[labels] += value_s
 
     def list_buckets(self, labels: Labels) -> list[tuple[str, int]]:
-        """Return how many times lie up to each bound."""
+        """Return the cumulative buckets: each bound with how many values are at most that."""
         total, buckets = 0, []
         for bound, count in zip((*self.bounds, "+Inf"), self.counts[labels], strict=True):
             total += count
@@ -64,72 +65,74 @@
     """All counters, gauges and histograms of one daemon."""
 
     def __init__(self, statistics: Statistics | None = None) -> None:
-        """Start at zero; counts go to `statistics` as well."""
+        """Create all metrics at zero; measurements also go to `statistics`."""
         self._statistics = statistics or NullStatistics()
-        self._counts = {
-            "requests": _Counts("Requests by route kind and outcome.", ("kind", "outcome")),
-            "retries": _Counts("Runs that another one followed, by failure.", ("failure",)),
-            "given_up": _Counts("Requests whose last run failed, by failure.", ("failure",)),
-            "batch_items": _Counts("Batch items by what became of a run.", ("outcome",)),
-            "batch_jobs": _Counts("Batch jobs by what became of them here.", ("outcome",)),
-            "log_lines_dropped": _Counts("Log lines dropped for a slow reader."),
+        self._counters = {
+            "requests": _Counter("Requests by route kind and outcome.", ("kind", "outcome")),
+            "retries": _Counter("Runs that another one followed, by failure.", ("failure",)),
+            "given_up": _Counter("Requests whose last run failed, by failure.", ("failure",)),
+            "batch_items": _Counter("Batch items by what became of a run.", ("outcome",)),
+            "batch_jobs": _Counter("Batch jobs by what became of them here.", ("outcome",)),
+            "log_lines_dropped": _Counter("Log lines dropped for a slow reader."),
         }
-        self._times = {
-            "first_event_seconds": _Times(
+        self._histograms = {
+            "first_event_seconds": _Histogram(
                 "From a request's arrival to its first event.", SECONDS, ("kind",)
             ),
-            "expected_first_event_seconds": _Times("The same, as placement expected it.", SECONDS),
-            "store_call_seconds": _Times(
+            "expected_first_event_seconds": _Histogram(
+                "The same, as placement expected it.", SECONDS
+            ),
+            "store_call_seconds": _Histogram(
                 "Calls of the platform's store.", SHORT_SECONDS, ("call", "outcome")
             ),
-            "loop_pause_seconds": _Times("How late the loop's ticks came.", SHORT_SECONDS),
+            "loop_pause_seconds": _Histogram("How late the loop's ticks came.", SHORT_SECONDS),
         }
         self._gauges = dict.fromkeys(GAUGES, 0.0)
-        # Series without labels are shown from the start, as monitoring expects.
-        self._counts["log_lines_dropped"].values[()] = 0.0
+        # Series without labels are exported from the start, as monitoring expects.
+        self._counters["log_lines_dropped"].values[()] = 0.0
 
     def count_request(self, kind: str, outcome: str) -> None:
         """Count a request's final answer."""
-        self._counts["requests"].values[kind, outcome] += 1
+        self._counters["requests"].values[kind, outcome] += 1
         self._statistics.count(f"requests.{kind}.{outcome}")
 
     def observe_first_event(self, kind: str, value_ms: int) -> None:
         """Record a request's time to its first event, ms."""
-        self._times["first_event_seconds"].observe((kind,), value_ms / MS_PER_SECOND)
+        self._histograms["first_event_seconds"].observe((kind,), value_ms / MS_PER_SECOND)
         self._statistics.record_ms(f"first_event.{kind}", value_ms)
 
     def observe_expected(self, value_ms: float) -> None:
         """Record the time to the first event that placement expected, ms."""
-        self._times["expected_first_event_seconds"].observe((), value_ms / MS_PER_SECOND)
+        self._histograms["expected_first_event_seconds"].observe((), value_ms / MS_PER_SECOND)
 
     def count_retry(self, failure: str) -> None:
-        """Count a run that another one follows."""
-        self._counts["retries"].values[(failure,)] += 1
+        """Count a failed run that is followed by another one."""
+        self._counters["retries"].values[(failure,)] += 1
         self._statistics.count(f"retries.{failure}")
 
     def count_given_up(self, failure: str) -> None:
-        """Count a request that no run follows."""
-        self._counts["given_up"].values[(failure,)] += 1
+        """Count a request whose last run failed."""
+        self._counters["given_up"].values[(failure,)] += 1
         self._statistics.count(f"given_up.{failure}")
 
     def count_item(self, outcome: str) -> None:
-        """Count what became of a run of a batch item."""
-        self._counts["batch_items"].values[(outcome,)] += 1
+        """Count a run of a batch item by its outcome."""
+        self._counters["batch_items"].values[(outcome,)] += 1
         self._statistics.count(f"batch_items.{outcome}")
 
     def count_job(self, outcome: str) -> None:
-        """Count what became of a batch job here."""
-        self._counts["batch_jobs"].values[(outcome,)] += 1
+        """Count a batch job by its outcome at this VM."""
+        self._counters["batch_jobs"].values[(outcome,)] += 1
         self._statistics.count(f"batch_jobs.{outcome}")
 
     def observe_store(self, call: str, outcome: str, value_ms: float) -> None:
-        """Record a call of the store, ms."""
-        self._times["store_call_seconds"].observe((call, outcome), value_ms / MS_PER_SECOND)
+        """Record the time of a store call, ms."""
+        self._histograms["store_call_seconds"].observe((call, outcome), value_ms / MS_PER_SECOND)
         self._statistics.record_ms(f"store.{call}.{outcome}", value_ms)
 
     def observe_pause(self, value_ms: float) -> None:
-        """Record how late a tick of the loop came, ms."""
-        self._times["loop_pause_seconds"].observe((), value_ms / MS_PER_SECOND)
+        """Record by how much a tick of the event loop was late, ms."""
+        self._histograms["loop_pause_seconds"].observe((), value_ms / MS_PER_SECOND)
 
     def set_gauge(self, name: str, value: float) -> None:
         """Set one of `GAUGES`; raises `KeyError` for another name."""
@@ -140,11 +143,11 @@
 
     def count_dropped_lines(self, lines: int) -> None:
         """Count log lines that were dropped."""
-        self._counts["log_lines_dropped"].values[()] += lines
+        self._counters["log_lines_dropped"].values[()] += lines
 
     def render(self) -> bytes:
-        """Return the page in the OpenMetrics format."""
-        # Imported with the first page: a daemon that starts again is awaited by callers.
+        """Return the metrics page in the OpenMetrics format."""
+        # Imported with the first page: callers wait while a daemon restarts.
         from prometheus_client import CollectorRegistry
         from prometheus_client.openmetrics.exposition import generate_latest
 
@@ -154,23 +157,25 @@
         return page
 
     def collect(self) -> "Iterator[Metric]":
-        """Yield all series, as the library's collectors do."""
+        """Yield all series; implements the collector interface of `prometheus_client`."""
         from prometheus_client import metrics_core as core
 
-        for name, counts in self._counts.items():
-            counter = core.CounterMetricFamily(
-                f"{PREFIX}_{name}", counts.text, labels=counts.labels
+        for name, counter in self._counters.items():
+            counter_family = core.CounterMetricFamily(
+                f"{PREFIX}_{name}", counter.help_text, labels=counter.labels
             )
-            for labels, value in counts.values.items():
-                counter.add_metric(labels, value)
-            yield counter
-        for name, times in self._times.items():
-            histogram = core.HistogramMetricFamily(
-                f"{PREFIX}_{name}", times.text, labels=times.labels
+            for labels, value in counter.values.items():
+                counter_family.add_metric(labels, value)
+            yield counter_family
+        for name, histogram in self._histograms.items():
+            histogram_family = core.HistogramMetricFamily(
+                f"{PREFIX}_{name}", histogram.help_text, labels=histogram.labels
             )
-            for labels in times.counts:
-                histogram.add_metric(labels, times.list_buckets(labels), times.sums[labels])
-            yield histogram
+            for labels in histogram.counts:
+                histogram_family.add_metric(
+                    labels, histogram.list_buckets(labels), histogram.sums[labels]
+                )
+            yield histogram_family
         for name, value in self._gauges.items():
             yield core.GaugeMetricFamily(f"{PREFIX}_{name}", GAUGES[name], value=value)
 
--- a/goldcreststair/online_pressure.py
+++ b/goldcreststair/online_pressure.py
@@ -1,6 +1,6 @@
-"""The section of online pressure, which components below the online one read as well.
+"""The blackboard section of this VM's online load, also read by components set up before the online one.
 
-It is no part of the online component, as membership would then import what imports membership.
+It is not in the online component, as membership would then import a component that imports membership.
 """
 
 from collections.abc import Mapping
@@ -12,16 +12,16 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamPressure:
-    """What this VM's online work meets at one upstream."""
+    """This VM's online requests at one upstream."""
 
     in_flight: int
     queue_ms: int
-    """Wait beyond what an idle upstream would need, from times to first token; 0 for none."""
+    """Queueing time at the upstream, ms: times to first token beyond those of an idle upstream; 0 for none."""
 
 
 @dataclass(frozen=True, slots=True)
 class OnlinePressure:
-    """This VM's online work; changes at once when a burst begins, else a few times a second."""
+    """This VM's online requests; updated at once when a burst begins, else a few times per second."""
 
     in_flight: int = 0
     by_upstream: Mapping[str, UpstreamPressure] = field(default_factory=dict)
--- a/goldcreststair/settings.py
+++ b/goldcreststair/settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings, from flags and environment variables, checked before anything starts."""
+"""Settings of the daemon, from flags and environment variables; checked before anything starts."""
 
 from dataclasses import dataclass
 from typing import Annotated, Final
@@ -21,26 +21,26 @@
 @Parameter(name="*")
 @dataclass(frozen=True)
 class Settings:
-    """Everything a daemon is told at its start; all else is configuration."""
+    """Settings given at the start; everything else is in the fleet's configuration."""
 
-    address: Annotated[str, Parameter(help="IP number of this VM, as others reach it.")]
-    data_centre: Annotated[str, Parameter(help="Data centre this VM stands in.")]
+    address: Annotated[str, Parameter(help="IP address at which others reach this VM.")]
+    data_centre: Annotated[str, Parameter(help="Data centre of this VM.")]
     platform_url: Annotated[str, Parameter(help="Base URL of the platform's services.")]
-    operator_token: Annotated[str, Parameter(help="Token that operators show.", show=True)]
+    operator_token: Annotated[str, Parameter(help="Token that operators send.", show=True)]
     region: Annotated[str, Parameter(help="Region of the data centre.")] = "default"
-    http_port: Annotated[int, Parameter(help="Port for callers and operators; 0 is any.")] = 8080
-    peer_port: Annotated[int, Parameter(help="Port for other daemons; 0 is any free one.")] = 8081
+    http_port: Annotated[int, Parameter(help="Port for callers and operators; 0 for any.")] = 8080
+    peer_port: Annotated[int, Parameter(help="Port for other daemons; 0 for any.")] = 8081
     partitions: Annotated[int, Parameter(help="Partitions of the key space.")] = DEFAULT_PARTITIONS
     statsd_address: Annotated[str, Parameter(help="HOST:PORT of statsd; empty for none.")] = ""
     log_level: Annotated[str, Parameter(help="debug, info, warning or error.")] = "info"
-    seed: Annotated[int, Parameter(help="Seed of random choices; 0 takes a fresh one.")] = 0
-    drain_ms: Annotated[int, Parameter(help="Longest wait for running work at a stop, ms.")] = (
+    seed: Annotated[int, Parameter(help="Seed of random choices; 0 for a random seed.")] = 0
+    drain_ms: Annotated[int, Parameter(help="Longest wait for running work at shutdown, ms.")] = (
         120_000
     )
 
 
 def check_settings(settings: Settings) -> Result[Settings, SettingsError]:
-    """Return the settings, or the first one that cannot be used."""
+    """Return the settings, or an error that names the first invalid one."""
     for name, problem in _find_problems(settings):
         if problem:
             return Err(SettingsError(problem, name))
--- a/goldcreststair/statistics.py
+++ b/goldcreststair/statistics.py
@@ -1,4 +1,4 @@
-"""Counters and timings on their way to statsd."""
+"""Sends counters, timings and gauges to statsd."""
 
 from typing import Protocol
 
@@ -8,7 +8,7 @@
 
 
 class Statistics(Protocol):
-    """Where measurements go; never raises and never waits."""
+    """Receives measurements; never raises and never blocks."""
 
     def count(self, name: str, value: int = 1) -> None:
         """Add `value` to a counter."""
@@ -21,16 +21,16 @@
 
 
 class NullStatistics:
-    """Drops every measurement."""
+    """Discards every measurement."""
 
     def count(self, name: str, value: int = 1) -> None:
-        """Drop a count."""
+        """Discard a count."""
 
     def record_ms(self, name: str, value_ms: float) -> None:
-        """Drop a duration."""
+        """Discard a duration."""
 
     def set_gauge(self, name: str, value: float) -> None:
-        """Drop a gauge."""
+        """Discard a gauge."""
 
 
 class StatsdStatistics:
@@ -54,7 +54,7 @@
 
 
 def create_statistics(address: str) -> Statistics:
-    """Return a client for `HOST:PORT`, or one that drops all for an empty address."""
+    """Return a client for `HOST:PORT`, or one that discards everything if the address is empty."""
     if not address:
         return NullStatistics()
     host, _, port = address.rpartition(":")
--- a/goldcreststair/transport.py
+++ b/goldcreststair/transport.py
@@ -1,4 +1,4 @@
-"""Channels of whole frames between daemons: the protocol, and TCP behind it."""
+"""Channels that carry frames between daemons: the interface, and an implementation over TCP."""
 
 import asyncio
 import socket
@@ -17,7 +17,7 @@
 
 MAX_FRAME_BYTES: Final = 16 * 1024 * 1024
 MAX_QUEUED_BYTES: Final = 32 * 1024 * 1024
-"""Bytes that may wait to be sent on one channel; more are refused as not sent."""
+"""Bytes that may be queued on one channel; `send` refuses frames beyond it."""
 LENGTH: Final = struct.Struct("!I")
 
 
@@ -26,14 +26,14 @@
     """A channel that could not be opened; nothing was sent."""
 
     refused: bool = False
-    """True if the other side's machine answered that nobody listens there."""
+    """True if the remote machine answered that nothing listens on that port."""
 
 
 class PeerChannel(Protocol):
     """One open channel that carries frames both ways, in order."""
 
     def send(self, frame: bytes) -> bool:
-        """Queue a frame; False if it certainly will not be sent (closed, too large or full)."""
+        """Queue a frame; False if it will certainly not be sent (closed, too large or queue full)."""
 
     async def async_receive(self) -> bytes | None:
         """Return the next frame, or None once the channel is closed or broken."""
@@ -49,7 +49,7 @@
     """Opens and accepts channels."""
 
     async def async_listen(self, address: str, port: int, on_accept: OnAccept) -> int:
-        """Accept channels from now on; returns the port really bound."""
+        """Start accepting channels; returns the bound port."""
 
     async def async_connect(
         self, address: str, port: int, timeout_ms: int
@@ -61,10 +61,10 @@
 
 
 class TcpChannel:
-    """Frames with a length before each, over one TCP connection."""
+    """Length-prefixed frames over one TCP connection."""
 
     def __init__(self, stream: IOStream) -> None:
-        """Take an open stream."""
+        """Use an open stream."""
         self._stream = stream
 
     def send(self, frame: bytes) -> bool:
@@ -75,7 +75,7 @@
             writing = self._stream.write(LENGTH.pack(len(frame)) + frame)
         except (StreamClosedError, StreamBufferFullError):
             return False
-        # A broken write also ends the receiving side, which is where it is noticed.
+        # A failed write also ends `async_receive`, where the failure is handled.
         asyncio.ensure_future(writing).add_done_callback(lambda done: done.exception())
         return True
 
@@ -83,7 +83,7 @@
         """Return the next frame, or None at the end."""
         try:
             (length,) = LENGTH.unpack(await self._stream.read_bytes(LENGTH.size))
-            # A length beyond the bound is a sender out of step: memory stays bounded.
+            # A length beyond the limit means that the sender is out of sync; memory stays bounded.
             if length > MAX_FRAME_BYTES:
                 self.close()
                 return None
@@ -111,11 +111,11 @@
     """Channels over TCP."""
 
     def __init__(self) -> None:
-        """Start without a listener."""
+        """Create a transport that does not listen yet."""
         self._server: _Server | None = None
 
     async def async_listen(self, address: str, port: int, on_accept: OnAccept) -> int:
-        """Bind and accept."""
+        """Bind the port and accept connections."""
         sockets = bind_sockets(port, address)
         self._server = _Server(on_accept)
         self._server.add_sockets(sockets)
@@ -125,7 +125,7 @@
     async def async_connect(
         self, address: str, port: int, timeout_ms: int
     ) -> Result[PeerChannel, TransportError]:
-        """Open one connection."""
+        """Open a TCP connection."""
         family = socket.AF_INET6 if ":" in address else socket.AF_INET
         raw = socket.socket(family, socket.SOCK_STREAM)
         raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
