--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Passes over exactly the tests that KNOWN-RED.txt lists, and prints them."""
+"""Marks exactly the tests listed in KNOWN-RED.txt as expected failures, and prints them."""
 
 from collections.abc import Iterable
 
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""A daemon starts and stops in an orderly way."""
+"""Start and stop of a daemon."""
 
 import asyncio
 
@@ -7,10 +7,10 @@
 from tests.helpers.cores import make_core
 
 
-def test_signal_during_the_start_is_not_lost() -> None:
-    """A VM is told to stop while its daemon still starts.
+def test_a_signal_during_the_start_is_not_lost() -> None:
+    """Guards against a session that stays until it expires, as its VM was stopped during the start.
 
-    Stopping half-way would leave its session to expire; the daemon starts whole, then leaves.
+    The daemon completes its start, then leaves.
     """
 
     async def async_test() -> None:
--- a/tests/test_rooms.py
+++ b/tests/test_component_separation.py
@@ -1,4 +1,4 @@
-"""Which rooms serve which daemon, and that neither daemon's rooms use the other's."""
+"""The components of each of the two daemons; neither daemon's components may use the other's."""
 
 import ast
 from collections.abc import Iterator
@@ -11,7 +11,7 @@
 
 ROOT = Path(__file__).parents[1] / "goldcreststair" / "components"
 PREFIX = "goldcreststair.components."
-GATEWAY_ROOMS = frozenset(
+GATEWAY_PACKAGES = frozenset(
     (
         "catalogue",
         "crash_marks",
@@ -30,13 +30,15 @@
 )
 
 
-def find_side(name: str) -> str:
-    """Return which daemon a module of the components serves.
+def find_daemon(name: str) -> str:
+    """Return which daemon a module of the components belongs to.
 
-    >>> find_side("fleet.service"), find_side("ledger")
+    'own' is the daemon with the project's own interface.
+
+    >>> find_daemon("fleet.service"), find_daemon("ledger")
     ('gateway', 'own')
     """
-    return "gateway" if name.split(".")[0] in GATEWAY_ROOMS else "own"
+    return "gateway" if name.split(".")[0] in GATEWAY_PACKAGES else "own"
 
 
 def list_modules() -> list[str]:
@@ -47,7 +49,7 @@
 
 
 def list_imports(name: str) -> Iterator[str]:
-    """Yield the other modules of the components that one uses."""
+    """Yield the modules of the components that a module imports."""
     path = ROOT.joinpath(*name.split("."))
     file = path / "__init__.py" if path.is_dir() else path.with_suffix(".py")
     for node in ast.walk(ast.parse(file.read_text())):
@@ -56,19 +58,19 @@
 
 
 @pytest.mark.parametrize("name", list_modules())
-def test_no_room_uses_the_other_daemons(name: str) -> None:
-    """A change of one daemon's decisions changed the other's.
+def test_no_component_imports_one_of_the_other_daemon(name: str) -> None:
+    """Guards against a change of one daemon's decisions that also changes the other's.
 
-    The gateway daemon took its refusals, retry budget and ranking from rooms of the daemon with the
-    project's own interface, so that neither could be read, changed or removed by itself.
+    The gateway daemon once imported refusals, retry budget and ranking from components of the other
+    daemon, so that neither could be read, changed or removed by itself.
     """
-    side = find_side(name)
-    used = {other: find_side(other) for other in list_imports(name)}
-    assert not {other for other, of in used.items() if of != side}
+    daemon = find_daemon(name)
+    imported = {other: find_daemon(other) for other in list_imports(name)}
+    assert not {other for other, owner in imported.items() if owner != daemon}
 
 
-def test_both_daemons_are_built_from_their_rooms() -> None:
+def test_each_daemon_is_built_from_its_own_components() -> None:
     gateway = {setup.__module__.removeprefix(PREFIX) for setup in GATEWAY_COMPONENTS}
     own = {setup.__module__.removeprefix(PREFIX) for setup in COMPONENTS}
-    assert {find_side(name) for name in gateway} == {"gateway"}
-    assert {find_side(name) for name in own} == {"own"}
+    assert {find_daemon(name) for name in gateway} == {"gateway"}
+    assert {find_daemon(name) for name in own} == {"own"}
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests passed over is short, and each has its reason."""
+"""The list of known failing tests: at most three, each with its reason."""
 
 from pathlib import Path
 
@@ -18,14 +18,14 @@
         ),
     ],
 )
-def test_reads_the_list(tmp_path: Path, content: str | None, known: dict[str, str]) -> None:
+def test_the_list_is_read(tmp_path: Path, content: str | None, known: dict[str, str]) -> None:
     if content is not None:
         (tmp_path / FILE).write_text(content)
     assert read_known_red(tmp_path) == known
 
 
 @pytest.mark.parametrize("content", ["test without reason", "a | ", "a | x\nb | x\nc | x\nd | x"])
-def test_refuses_a_bad_list(tmp_path: Path, content: str) -> None:
+def test_a_malformed_or_long_list_is_refused(tmp_path: Path, content: str) -> None:
     (tmp_path / FILE).write_text(content)
     with pytest.raises(ValueError, match=FILE):
         read_known_red(tmp_path)
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Logs: bounded in volume, never waited for, failures first."""
+"""Logging: limited in volume, never blocking, with warnings and errors kept first."""
 
 import asyncio
 import fcntl
@@ -14,7 +14,7 @@
 
 
 def make_pipe() -> tuple[int, int]:
-    """Return both ends of a small pipe."""
+    """Return the reading and the writing end of a small pipe."""
     reading, writing = os.pipe()
     fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, 4096)
     os.set_blocking(reading, False)
@@ -22,7 +22,7 @@
 
 
 def read_all(reading: int) -> bytes:
-    """Return what is there."""
+    """Return all bytes that can be read without waiting."""
     found = b""
     try:
         while chunk := os.read(reading, 65536):
@@ -32,11 +32,11 @@
     return found
 
 
-def test_a_log_that_nobody_reads_never_stops_the_process() -> None:
-    """Every request of a VM hung, as its log's reader had stopped.
+def test_a_log_without_a_reader_never_blocks_the_process() -> None:
+    """Guards against a VM whose requests all hang because the reader of its log has stopped.
 
-    The pipe was full and the next line waited for room, on the only thread there is. Lines are dropped
-    instead, ordinary ones first, and their number is told once there is room.
+    A write to the full pipe would block the only thread. Lines are dropped instead, those that are not
+    important first, and their number is logged once there is room.
     """
 
     async def scenario() -> None:
@@ -64,7 +64,7 @@
     asyncio.run(scenario())
 
 
-def test_lines_of_one_turn_are_written_together_and_in_order() -> None:
+def test_lines_of_one_loop_iteration_are_written_together_and_in_order() -> None:
     async def scenario() -> None:
         reading, writing = make_pipe()
         writer = LineWriter(writing)
@@ -93,20 +93,20 @@
 
 
 def make_record(level: int, message: str) -> logging.LogRecord:
-    """Return a record."""
+    """Return a log record without arguments."""
     return logging.LogRecord("x", level, "", 0, message, None, None)
 
 
 @pytest.mark.parametrize("level", [logging.INFO, logging.WARNING])
-def test_each_kind_of_line_is_sampled_by_itself(level: int) -> None:
-    """The line that told why an engine was given up drowned in thousands that said a request had failed."""
+def test_each_kind_of_line_has_its_own_limit(level: int) -> None:
+    """Guards against losing the line about an engine's failure among thousands about failed requests."""
     sample = SampleFilter()
     passed = [sample.filter(make_record(level, "flood")) for _ in range(1_000)]
     assert BURST_LINES <= sum(passed) < BURST_LINES + 50
     assert sample.filter(make_record(logging.INFO, "rare"))
 
 
-def test_the_next_line_says_how_many_were_left_out() -> None:
+def test_the_next_line_says_how_many_were_omitted() -> None:
     sample = SampleFilter()
     passed = sum(sample.filter(make_record(logging.INFO, "flood")) for _ in range(1_000))
     time.sleep(0.1)
--- a/tests/test_paired.py
+++ b/tests/test_paired.py
@@ -1,4 +1,4 @@
-"""Differences of pairs: the mean, and an interval that says how sure it is."""
+"""Paired differences: their mean and its confidence interval."""
 
 import random
 
@@ -19,7 +19,7 @@
         ([0.5, 0.7, 0.6, 0.8], [0.4, 0.5, 0.3, 0.4], 0.25, True),
     ],
 )
-def test_a_difference_is_clear_if_its_interval_leaves_out_zero(
+def test_a_difference_is_clear_if_its_interval_excludes_zero(
     first: list[float], second: list[float], mean: float, is_clear: bool
 ) -> None:
     found = compare(first, second)
@@ -28,13 +28,13 @@
     assert found.is_clear is is_clear
 
 
-def test_what_all_seeds_share_widens_no_interval() -> None:
-    """Compared unpaired, seeds that differ by far would hide a difference that all of them show."""
+def test_variation_between_seeds_does_not_widen_the_interval() -> None:
+    """Without pairing, large differences between seeds would hide a difference that all of them show."""
     found = compare(STEADY, [each - 0.1 for each in STEADY])
     assert found.high - found.low < 1e-9
 
 
-def test_the_interval_of_many_pairs_is_that_of_the_normal_distribution() -> None:
+def test_the_interval_of_many_pairs_matches_the_normal_distribution() -> None:
     chance = random.Random(2)
     drawn = [chance.gauss(0.02, 0.05) for _ in range(400)]
     found = compare(drawn, [0.0] * 400)
@@ -44,20 +44,20 @@
     assert found.high == pytest.approx(mean + half, abs=0.0005)
 
 
-def test_the_interval_holds_the_true_difference_nearly_as_often_as_it_says() -> None:
-    """An interval that is far too short marks chance as the worth of a mechanism."""
+def test_the_interval_covers_the_true_difference_nearly_as_often_as_stated() -> None:
+    """An interval that is far too short would present chance as the effect of a mechanism."""
     chance = random.Random(3)
-    held = 0
+    covered = 0
     for _ in range(100):
         found = compare([chance.gauss(0.1, 0.05) for _ in range(20)], [0.0] * 20, resamples=400)
-        held += found.low <= 0.1 <= found.high
-    assert 88 <= held <= 99
+        covered += found.low <= 0.1 <= found.high
+    assert 88 <= covered <= 99
 
 
 def test_the_same_pairs_have_the_same_interval() -> None:
     assert compare(STEADY, STEADY[::-1]) == compare(STEADY, STEADY[::-1])
 
 
-def test_seeds_that_lack_their_pair_are_not_compared() -> None:
+def test_values_without_a_pair_are_an_error() -> None:
     with pytest.raises(ValueError, match="zip"):
         compare(STEADY, STEADY[:-1])
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked before anything starts, and the error names the setting."""
+"""Checks of settings at the start; an error names the setting."""
 
 import dataclasses
 from typing import Any
@@ -16,7 +16,7 @@
 GOOD = Settings("127.0.0.1", "dc1", "http://127.0.0.1:8000", "token")
 
 
-def test_accepts_good_settings() -> None:
+def test_valid_settings_are_accepted() -> None:
     assert isinstance(check_settings(GOOD), Ok)
 
 
@@ -35,7 +35,7 @@
         ("drain_ms", -5),
     ],
 )
-def test_names_the_bad_setting(setting: str, value: Any) -> None:
+def test_the_error_names_the_invalid_setting(setting: str, value: Any) -> None:
     checked = check_settings(dataclasses.replace(GOOD, **{setting: value}))
     assert isinstance(checked, Err)
     assert checked.err_value.setting == setting
@@ -50,7 +50,7 @@
 """
 
 
-def test_a_whole_settings_file_is_read_without_the_command_line() -> None:
+def test_a_complete_settings_file_is_read_without_the_command_line() -> None:
     settings = read_settings_text(GATEWAY_FILE)
     assert settings == GatewaySettings(
         "127.0.0.1", "dc1", "127.0.0.1:1", front="127.0.0.1:2", grace_s=8.0
@@ -62,8 +62,8 @@
     "line",
     ["unknown = 1", "memory_mb = 'much'", "seed = true", "peer_port = 1.5", "region = 7", "["],
 )
-def test_the_command_line_judges_a_settings_file_with_a_doubtful_line(line: str) -> None:
-    """Guards against a wrong setting that is passed over, or told in other words than before."""
+def test_a_settings_file_with_an_invalid_line_is_left_to_the_command_line(line: str) -> None:
+    """Guards against a wrong setting that is ignored, or reported differently than by the command line."""
     assert read_settings_text(GATEWAY_FILE + line) is None
     assert read_settings_text("address = '127.0.0.1'") is None
 
