--- a/tests/platform_adapter/local.py
+++ b/tests/platform_adapter/local.py
@@ -1,4 +1,4 @@
-"""One gateway daemon on loopback, before a store and engines that speak the platform's wire."""
+"""A gateway daemon on loopback, with a store and an engine that speak the platform's wire format."""
 
 import asyncio
 import socket
@@ -96,22 +96,22 @@
 
 @dataclass(slots=True)
 class HttpAnswer:
-    """One answer, read byte by byte."""
+    """One HTTP answer as it was read."""
 
     status: int
     headers: dict[str, str]
     body: bytes
     whole: bool
-    """Whether its framing says that it ended."""
+    """Whether it was complete according to its framing."""
 
     def read_json(self) -> Any:
-        """Return its body as JSON."""
+        """Return the body, decoded as JSON."""
         return orjson.loads(self.body)
 
 
 @dataclass(slots=True)
 class LocalGateway:
-    """The daemon and what stands around it."""
+    """The daemon with its servers, store and engine."""
 
     store: WireStore
     engine: WireEngine
@@ -125,7 +125,7 @@
     async def async_open(
         self, address: str = ""
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Open a connection."""
+        """Open a connection, by default to the server for callers."""
         host, _, port = (address or self.front).rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         self.connections.append(writer)
@@ -148,20 +148,20 @@
 def make_request(
     method: str, path: str, body: bytes = b"", headers: Mapping[str, str] | None = None
 ) -> bytes:
-    """Return a request's bytes; headers replace the usual ones, and None leaves one out."""
-    usual: dict[str, str] = {
+    """Return a request's bytes; `headers` override the defaults, and an empty value omits one."""
+    defaults: dict[str, str] = {
         "Host": HOST,
         "Request-Id": "r1",
         "X-Api-Key": KEY,
         "Deadline-Ms": "3000",
     }
-    fields = usual | dict(headers or {}) | {"Content-Length": str(len(body))}
+    fields = defaults | dict(headers or {}) | {"Content-Length": str(len(body))}
     lines = [f"{method} {path} HTTP/1.1", *(f"{k}: {v}" for k, v in fields.items() if v)]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 async def async_read_answer(reader: asyncio.StreamReader) -> HttpAnswer:
-    """Read one answer."""
+    """Read one answer; its `whole` is False if the connection ends within the body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = dict(line.split(": ", 1) for line in head[1:] if line)
     status = int(head[0].split(" ")[1])
@@ -181,7 +181,7 @@
 def run_local(
     scenario: Callable[[LocalGateway], Awaitable[None]], config: Mapping[str, Any] = CONFIG
 ) -> None:
-    """Run a scenario on a daemon that is ready."""
+    """Run a scenario with a daemon that is ready, for at most 40 s."""
 
     async def async_run() -> None:
         local = await async_start_local(config)
@@ -230,7 +230,7 @@
 
 
 async def async_wait_ready(gateway: Gateway) -> None:
-    """Return once callers may be sent to the daemon and jobs be accepted."""
+    """Return once the daemon is listed for callers and can accept jobs; raises `TimeoutError`."""
     links, entry = gateway.core.get(FLEET_LINKS), gateway.core.get(ENTRY)
     for _ in range(500):
         if entry.list_addresses("dc-a", "default") and links.is_registered():
@@ -242,7 +242,7 @@
 def register(
     store: WireStore, engine: WireEngine, state: str = "ready", zone: str = "dc-a"
 ) -> None:
-    """Write an engine's entry."""
+    """Write an engine's entry to the store's table of upstreams."""
     entry = {
         "service": "engine",
         "address": engine.address,
--- a/tests/platform_adapter/measure_first_event.py
+++ b/tests/platform_adapter/measure_first_event.py
@@ -1,6 +1,7 @@
-"""Measures what the gateway daemon adds to a short stream: `python -m tests.platform_adapter.measure_first_event`.
+"""Measures the time that the gateway daemon adds to a short stream.
 
-Caller, daemon, engine and store share one process on loopback, so the figure is an upper bound.
+Run as `python -m tests.platform_adapter.measure_first_event`. Caller, daemon, engine and store share one process
+on loopback, so the figure is an upper bound.
 """
 
 import statistics
@@ -14,17 +15,17 @@
 
 
 async def async_measure(local: LocalGateway, address: str) -> list[float]:
-    """Return the ms from each request to the end of its answer, over one connection."""
+    """Return the time from each request to the end of its answer, ms, over one connection."""
     reader, writer = await local.async_open(address)
-    took: list[float] = []
+    durations: list[float] = []
     for number in range(REQUESTS):
         headers = {"Request-Id": f"r{number}", "Target-Instance": local.engine.name}
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         writer.write(make_request("POST", "/stream/x", b"prompt", headers))
         answer = await async_read_answer(reader)
-        took.append((time.perf_counter() - began) * 1000)
+        durations.append((time.perf_counter() - started_at) * 1000)
         assert answer.status == 200 and answer.whole
-    return took[WARM_UP:]
+    return durations[WARM_UP:]
 
 
 async def async_print(local: LocalGateway) -> None:
--- a/tests/platform_adapter/test_callers.py
+++ b/tests/platform_adapter/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers' connections: good and bad messages, streams, leaving."""
+"""Callers' connections: valid and malformed messages, streams, and a daemon that leaves."""
 
 import asyncio
 
@@ -13,12 +13,12 @@
     make_request,
     run_local,
 )
-from tests.platform_adapter.wire_engine import Misdeed, make_event
+from tests.platform_adapter.wire_engine import EngineFault, make_event
 
 WHOLE = b"".join(make_event(number) for number in (1, 2, 3))
 
 
-def test_a_stream_reaches_the_caller_with_its_engines_receipt() -> None:
+def test_a_stream_reaches_the_caller_with_its_engines_headers() -> None:
     async def scenario(local: LocalGateway) -> None:
         headers = {"Prompt-Prefix": "a:10,b:20", "X-Other": "kept", "Tenant": "forged"}
         answer = await local.async_call("POST", "/stream/x?y=z", b"prompt", headers)
@@ -35,8 +35,8 @@
     run_local(scenario)
 
 
-def test_connections_that_ended_are_forgotten() -> None:
-    """Memory of a daemon grew with every connection that a caller had ever opened."""
+def test_closed_connections_are_removed() -> None:
+    """Guards against memory that grows with every connection that a caller ever opened."""
 
     async def scenario(local: LocalGateway) -> None:
         for _ in range(3):
@@ -54,8 +54,8 @@
 
 
 @pytest.mark.parametrize("path", ["/stream/x", "/-/lots/j1"])
-def test_a_fault_of_our_own_is_answered(monkeypatch: pytest.MonkeyPatch, path: str) -> None:
-    """Guards against closing a connection without an answer for an exception in the daemon."""
+def test_an_internal_error_is_answered(monkeypatch: pytest.MonkeyPatch, path: str) -> None:
+    """Guards against a connection that is closed without an answer after an exception in the daemon."""
 
     async def async_fail(*_: object) -> None:
         raise ZeroDivisionError
@@ -69,7 +69,7 @@
     run_local(scenario)
 
 
-def test_a_kept_connection_serves_many_requests() -> None:
+def test_a_keep_alive_connection_serves_many_requests() -> None:
     async def scenario(local: LocalGateway) -> None:
         reader, writer = await local.async_open()
         for number in range(3):
@@ -94,7 +94,7 @@
         ("/stream/x", b"x" * 100_001, {}, 413),
     ],
 )
-def test_a_bad_message_gets_a_clear_answer_and_harms_nobody(
+def test_a_malformed_message_gets_a_clear_answer_and_affects_no_other_request(
     path: str, body: bytes, headers: dict[str, str], status: int
 ) -> None:
     async def scenario(local: LocalGateway) -> None:
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("bad", [b"GARBAGE\r\n\r\n", b"POST /stream/x HTTP/1.1\r\nHo"])
-def test_a_broken_head_ends_only_its_own_connection(bad: bytes) -> None:
+def test_a_malformed_head_ends_only_its_own_connection(bad: bytes) -> None:
     async def scenario(local: LocalGateway) -> None:
         _, writer = await local.async_open()
         writer.write(bad)
@@ -119,25 +119,25 @@
 
 
 @pytest.mark.parametrize(
-    ("misdeeds", "path", "status", "whole"),
+    ("faults", "path", "status", "whole"),
     [
-        ([Misdeed.CUT], "/once/x", 200, False),
-        ([Misdeed.GARBAGE], "/once/x", 502, True),
-        ([Misdeed.NOT_RUN], "/once/x", 503, True),
-        ([Misdeed.MISDIRECTED], "/once/x", 503, True),
+        ([EngineFault.CUT], "/once/x", 200, False),
+        ([EngineFault.GARBAGE], "/once/x", 502, True),
+        ([EngineFault.NOT_RUN], "/once/x", 503, True),
+        ([EngineFault.MISDIRECTED], "/once/x", 503, True),
     ],
 )
-def test_what_is_not_whole_never_looks_whole(
-    misdeeds: list[Misdeed], path: str, status: int, whole: bool
+def test_an_incomplete_answer_never_looks_complete(
+    faults: list[EngineFault], path: str, status: int, whole: bool
 ) -> None:
-    """A secretary read half a confirmation and took it for the whole.
+    """Guards against a caller that takes half an answer for the whole, as the engine failed within it.
 
-    The engine broke off. What may have run is answered 502 or cut; only what certainly has not run is
-    answered 503 with a time to come back.
+    A request that may have run is answered 502 or cut; only one that has certainly not run is answered
+    503 with a time to retry.
     """
 
     async def scenario(local: LocalGateway) -> None:
-        local.engine.misdeeds = misdeeds
+        local.engine.faults = faults
         answer = await local.async_call("POST", path)
         assert (answer.status, answer.whole) == (status, whole)
         assert ("Retry-After" in answer.headers) == (status == 503)
@@ -145,9 +145,9 @@
     run_local(scenario)
 
 
-def test_a_caller_that_closes_ends_the_run() -> None:
+def test_a_caller_that_closes_its_connection_ends_the_run() -> None:
     async def scenario(local: LocalGateway) -> None:
-        local.engine.misdeeds = [Misdeed.SILENT]
+        local.engine.faults = [EngineFault.SILENT]
         _, writer = await local.async_open()
         writer.write(make_request("POST", "/once/x"))
         await asyncio.sleep(0.2)
@@ -160,7 +160,7 @@
     run_local(scenario)
 
 
-def test_addresses_and_readiness() -> None:
+def test_addresses_and_readiness_before_and_during_a_leave() -> None:
     async def scenario(local: LocalGateway) -> None:
         path = "/-/resolve?name=host.example&region=default&zone=dc-a"
         answer = await local.async_call("GET", path, address=local.entry_address)
@@ -176,23 +176,23 @@
     run_local(scenario)
 
 
-def test_a_leaving_daemon_serves_on_and_asks_callers_to_close() -> None:
-    """Planned maintenance cut members' requests.
+def test_a_leaving_daemon_still_serves_and_asks_callers_to_close() -> None:
+    """Guards against requests that are cut by planned maintenance.
 
-    A leaving VM goes on serving those that still come, ends its connections with an answer, and is
-    gone within its grace.
+    A leaving VM still serves new requests, closes each connection after an answer, and ends within its
+    grace period.
     """
 
     async def scenario(local: LocalGateway) -> None:
         reader, writer = await local.async_open()
         entry = local.gateway.core.get(ENTRY)
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         entry.leave()
         writer.write(make_request("POST", "/stream/x"))
         answer = await async_read_answer(reader)
         assert answer.status == 200 and answer.whole
         assert answer.headers.get("Connection") == "close"
         await entry.async_wait()
-        assert asyncio.get_running_loop().time() - began <= 1.0
+        assert asyncio.get_running_loop().time() - started_at <= 1.0
 
     run_local(scenario)
--- a/tests/platform_adapter/test_documents.py
+++ b/tests/platform_adapter/test_documents.py
@@ -1,4 +1,4 @@
-"""The operators' document and the upstreams' entries, good and bad."""
+"""Decoding of the operators' document and the upstreams' entries, valid and malformed."""
 
 import copy
 from typing import Any
@@ -58,7 +58,7 @@
 }
 
 
-def test_a_document_is_decoded_once_into_named_fields() -> None:
+def test_a_document_is_decoded_into_a_catalogue() -> None:
     catalogue = OperatorDocuments().decode(orjson.dumps(DOCUMENT)).unwrap()
     assert catalogue.version == 7
     stream, batch = catalogue.routes
@@ -103,17 +103,19 @@
         (("tenants", 0, "name"), None, "name"),
     ],
 )
-def test_a_bad_field_is_named(where: tuple[Any, ...], value: Any, field: str) -> None:
+def test_the_error_names_the_malformed_field(
+    where: tuple[Any, ...], value: Any, field: str
+) -> None:
     document = copy.deepcopy(DOCUMENT)
-    holder: Any = document
+    parent: Any = document
     for step in where[:-1]:
-        holder = holder[step]
-    holder[where[-1]] = value
+        parent = parent[step]
+    parent[where[-1]] = value
     decoded = OperatorDocuments().decode(orjson.dumps(document))
     assert isinstance(decoded, Err) and decoded.err_value.field == field
 
 
-def test_bytes_that_are_no_document_are_an_error() -> None:
+def test_a_document_that_is_not_json_is_an_error() -> None:
     assert isinstance(OperatorDocuments().decode(b"\xff{"), Err)
 
 
@@ -131,7 +133,7 @@
 
 
 @pytest.mark.parametrize(("state", "draining"), [("ready", False), ("draining", True)])
-def test_an_entry_names_an_upstream(state: str, draining: bool) -> None:
+def test_an_entry_is_decoded_into_an_upstream(state: str, draining: bool) -> None:
     decoded = UpstreamEntries().decode("i-1", orjson.dumps(ENTRY | {"state": state}))
     assert isinstance(decoded, Ok)
     entry = decoded.ok_value
@@ -151,7 +153,7 @@
         ([], "state"),
     ],
 )
-def test_an_entry_of_another_writer_names_no_upstream(value: Any, field: str) -> None:
+def test_a_malformed_entry_is_an_error_that_names_the_field(value: Any, field: str) -> None:
     decoded = UpstreamEntries().decode("i-1", orjson.dumps(value))
     assert isinstance(decoded, Err) and decoded.err_value.field == field
 
@@ -177,7 +179,7 @@
 
 
 def make_entry(**changes: Any) -> bytes:
-    """Return the entry of an upstream, with fields changed; None leaves one out."""
+    """Return an upstream's entry with changed fields; None omits one."""
     entry = {
         "service": "x",
         "address": "10.0.0.1:80",
@@ -193,8 +195,10 @@
     ("cold_left_ms", "cold_ms"),
     [(0, 0), (2500, 2500), (2500.7, 2500), (1e12, 60_000)] + [(bad, None) for bad in BAD_NUMBERS],
 )
-def test_how_long_an_upstream_is_cold(cold_left_ms: Any, cold_ms: int | None) -> None:
-    """Guards against an upstream that is taken for gone, or for warm, by one field that is wrong."""
+def test_the_cold_time_of_an_upstream_is_read_and_limited(
+    cold_left_ms: Any, cold_ms: int | None
+) -> None:
+    """Guards against an upstream that is ignored, or taken for warm, because of one malformed field."""
     decoded = UpstreamEntries().decode("u", make_entry(cold_left_ms=cold_left_ms)).unwrap()
     assert decoded.cold_ms == cold_ms
 
@@ -211,18 +215,18 @@
     + [({"cold_per_s": bad, "cold_start_s": 3.0}, (1.0, 3_000)) for bad in BAD_NUMBERS]
     + [({"cold_per_s": 22.0, "cold_start_s": bad}, (22.0, 10_000)) for bad in BAD_NUMBERS],
 )
-def test_what_cold_upstreams_of_a_service_bear(
+def test_the_rate_and_time_of_a_services_cold_upstreams(
     fields: dict[str, Any], terms: tuple[float, int]
 ) -> None:
-    """Guards against a catalogue that is refused whole, or cold upstreams left unbounded, by one wrong field."""
+    """Guards against one malformed field that rejects the whole catalogue or leaves cold upstreams unlimited."""
     document = copy.deepcopy(DOCUMENT)
     document["services"][0].update(fields)
     service = OperatorDocuments().decode(orjson.dumps(document)).unwrap().services["x"]
     assert (service.cold_per_s, service.cold_start_ms) == terms
 
 
-def test_a_wrong_field_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
-    """Guards against a line for each heartbeat of an upstream."""
+def test_a_malformed_number_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
+    """Guards against a log line for each heartbeat of an upstream."""
     reader = UpstreamEntries()
     for _ in range(3):
         reader.decode("u", make_entry(cold_left_ms="soon"))
--- a/tests/platform_adapter/test_early_listener.py
+++ b/tests/platform_adapter/test_early_listener.py
@@ -1,4 +1,4 @@
-"""Connections that come while a daemon is loaded."""
+"""Connections that are opened while a daemon's modules are imported."""
 
 import http.client
 import os
@@ -13,7 +13,7 @@
 from tests.platform_adapter.local import find_port
 
 ROOT = Path(__file__).parents[2]
-HELD = """
+GATED_START = """
 import pathlib, runpy, sys, time
 GATE = pathlib.Path(sys.argv.pop())
 class Gate:
@@ -24,8 +24,8 @@
 sys.argv = ["serve.py"]
 runpy.run_path("platform/serve.py", run_name="__main__")
 """
-"""Runs the daemon, but loads no further than its first library until a file exists."""
-LIMIT_S = 30.0
+"""Runs the daemon, but blocks its import of tornado until a file exists."""
+TIMEOUT_S = 30.0
 
 
 def write_settings(path: Path, front: str) -> Path:
@@ -41,16 +41,16 @@
     return path
 
 
-def test_a_caller_who_comes_while_the_daemon_is_loaded_is_answered(tmp_path: Path) -> None:
-    """Guards against callers whose attempts are all refused in the moment all VMs start again."""
+def test_a_request_sent_during_the_imports_is_answered(tmp_path: Path) -> None:
+    """Guards against callers whose attempts are all refused while all VMs restart at once."""
     port, gate = find_port(), tmp_path / "gate"
     settings = write_settings(tmp_path / "settings.toml", f"127.0.0.1:{port}")
-    command = [sys.executable, "-c", HELD, str(gate)]
+    command = [sys.executable, "-c", GATED_START, str(gate)]
     variables = os.environ | {"GOLDCRESTSTAIR_BOOT": str(settings), "PYTHONPATH": "platform"}
     process = subprocess.Popen(command, cwd=ROOT, env=variables, stdout=subprocess.DEVNULL)
     try:
-        caller = http.client.HTTPConnection("127.0.0.1", port, timeout=LIMIT_S)
-        ends_at = time.monotonic() + LIMIT_S
+        caller = http.client.HTTPConnection("127.0.0.1", port, timeout=TIMEOUT_S)
+        ends_at = time.monotonic() + TIMEOUT_S
         while caller.sock is None and time.monotonic() < ends_at:
             try:
                 caller.connect()
@@ -67,8 +67,8 @@
 @pytest.mark.parametrize(
     "text", ["", "front = 7", 'front = "127.0.0.1"', 'front = "127.0.0.1:x"', "front = [", None]
 )
-def test_settings_that_name_no_address_open_nothing(tmp_path: Path, text: str | None) -> None:
-    """Guards against a daemon that ends before its settings' check can say what is wrong."""
+def test_settings_without_a_valid_address_open_no_socket(tmp_path: Path, text: str | None) -> None:
+    """Guards against a daemon that ends before the check of its settings can report the error."""
     path = tmp_path / "settings.toml"
     if text is not None:
         path.write_text(text)
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("same", [True, False])
-def test_flags_go_before_the_settings_file(tmp_path: Path, same: bool) -> None:
+def test_flags_override_the_settings_file(tmp_path: Path, same: bool) -> None:
     port, other = find_port(), find_port()
     early = open_early_listener(str(write_settings(tmp_path / "s", f"127.0.0.1:{port}")))
     assert early is not None
@@ -86,7 +86,7 @@
 
 
 def test_an_address_in_use_is_an_error() -> None:
-    taken = listen("127.0.0.1", find_port())
+    bound = listen("127.0.0.1", find_port())
     with pytest.raises(OSError):
-        listen(*taken.getsockname())
-    taken.close()
+        listen(*bound.getsockname())
+    bound.close()
--- a/tests/platform_adapter/test_import.py
+++ b/tests/platform_adapter/test_import.py
@@ -1,4 +1,4 @@
-"""The folder `platform/` beside the standard module of that name."""
+"""The folder `platform/` does not shadow the standard module, and alone contains the platform's wire names."""
 
 import subprocess
 import sys
@@ -14,7 +14,7 @@
     assert done.stdout.startswith("3.")
 
 
-WORDS = (
+WIRE_NAMES = (
     "rows-tx",
     "rows-get",
     "blob-put",
@@ -30,8 +30,8 @@
 )
 
 
-def test_nothing_outside_the_adapter_names_the_platforms_wire() -> None:
+def test_wire_names_of_the_platform_appear_only_in_the_adapter() -> None:
     for folder in ("goldcreststair", "standins"):
         for source in (ROOT / folder).rglob("*.py"):
             text = source.read_text()
-            assert not [word for word in WORDS if word in text], source
+            assert not [name for name in WIRE_NAMES if name in text], source
--- a/tests/platform_adapter/test_jobs.py
+++ b/tests/platform_adapter/test_jobs.py
@@ -1,4 +1,4 @@
-"""Calls about batch jobs on the wire."""
+"""Batch jobs over HTTP: submission, results, cancellation and refusals."""
 
 import asyncio
 import base64
@@ -26,7 +26,7 @@
 
 
 async def async_read_done(local: LocalGateway, job: str, count: int) -> Any:
-    """Read a job until so many results are there."""
+    """Read a job until it has `count` results, and return that page."""
     for _ in range(100):
         answer = await local.async_call("GET", f"/-/lots/{job}?after=0")
         if answer.status == 200 and len(answer.read_json()["results"]) >= count:
@@ -60,7 +60,7 @@
 
 
 def change(**fields: Any) -> bytes:
-    """Return a submission whose item has other fields."""
+    """Return a submission of one item with changed fields."""
     return make_job(copy.deepcopy(ITEM) | fields)
 
 
@@ -81,7 +81,7 @@
         (change(headers={"A": "b\r\nC: d"}), "requests[0].headers"),
     ],
 )
-def test_a_malformed_job_is_refused_by_field(body: bytes, field: str) -> None:
+def test_the_refusal_of_a_malformed_job_names_the_field(body: bytes, field: str) -> None:
     async def scenario(local: LocalGateway) -> None:
         answer = await local.async_call("POST", "/batch/job", body, {"Request-Id": "j1"})
         assert answer.status == 400
@@ -91,7 +91,7 @@
     run_local(scenario)
 
 
-def test_a_job_beyond_the_customers_tokens_is_refused_for_now() -> None:
+def test_a_job_beyond_the_customers_tokens_is_refused_with_a_time_to_retry() -> None:
     async def scenario(local: LocalGateway) -> None:
         answer = await local.async_call(
             "POST", "/batch/job", change(tokens=2_001), {"Request-Id": "j1"}
@@ -118,14 +118,14 @@
 @pytest.mark.parametrize(
     "path", ["/-/lots/j1?after=x", "/-/lots/j1?after=-1", "/-/lots/j1?after=99999999"]
 )
-def test_a_bad_position_is_refused(path: str) -> None:
+def test_a_malformed_position_is_refused(path: str) -> None:
     async def scenario(local: LocalGateway) -> None:
         assert (await local.async_call("GET", path)).status == 400
 
     run_local(scenario)
 
 
-def test_an_ended_job_stops_and_keeps_what_is_listed() -> None:
+def test_a_cancelled_job_stops_and_stays_listed() -> None:
     async def scenario(local: LocalGateway) -> None:
         register_no_engine(local)
         await local.async_call("POST", "/batch/job", make_job(), {"Request-Id": "j1"})
@@ -142,8 +142,8 @@
     run_local(scenario)
 
 
-def test_an_item_starts_on_a_connection_that_is_kept() -> None:
-    """Items lay beside free slots while idle connections took the daemon's part of the upstream's."""
+def test_an_item_starts_on_an_idle_connection() -> None:
+    """Guards against items that wait while slots are free, as idle connections use up the daemon's share."""
     config = copy.deepcopy(CONFIG)
     config["services"][0]["max_conns"] = 1
 
@@ -163,14 +163,14 @@
 
 
 def register_no_engine(local: LocalGateway) -> None:
-    """Take the engine off the list."""
+    """Mark the engine as draining, so that it gets no work."""
     register(local.store, local.engine, state="draining")
 
 
-def test_while_the_store_is_away_nothing_is_accepted() -> None:
-    """A digest job was accepted and lost.
+def test_no_job_is_accepted_while_the_store_is_unavailable() -> None:
+    """Guards against a job that is accepted and lost.
 
-    The store was away. A job that cannot be kept is refused as not run, with a time to come back.
+    A job that cannot be stored is refused as not run, with a time to retry.
     """
 
     async def scenario(local: LocalGateway) -> None:
@@ -184,10 +184,10 @@
     run_local(scenario)
 
 
-def test_an_acceptance_in_doubt_promises_nothing() -> None:
-    """A job ran although its caller was told "not run", and had been sent again under another id.
+def test_a_job_with_unknown_outcome_is_not_refused_as_not_run() -> None:
+    """Guards against a job that runs twice: refused as "not run", it would be sent again under another id.
 
-    The store made the transaction and its answers were lost.
+    The store applied the transaction, but its answers were lost.
     """
 
     async def scenario(local: LocalGateway) -> None:
--- a/tests/platform_adapter/test_leaving.py
+++ b/tests/platform_adapter/test_leaving.py
@@ -1,4 +1,4 @@
-"""What callers' connections see of a planned stop."""
+"""Callers' connections during a planned shutdown."""
 
 import asyncio
 
@@ -12,16 +12,16 @@
     make_request,
     run_local,
 )
-from tests.platform_adapter.wire_engine import Misdeed, make_event
+from tests.platform_adapter.wire_engine import EngineFault, make_event
 
-KEPT_CONNECTIONS = 100
+IDLE_CONNECTIONS = 100
 LARGE_BYTES = 12_000_000
-"""More than the kernel keeps of one connection."""
+"""More than the kernel buffers for one connection."""
 GRACE_MS = 1_000
 
 
 async def async_leave(local: LocalGateway) -> None:
-    """Stop as the daemon does after SIGTERM."""
+    """Shut down as the daemon does after SIGTERM."""
     entry = local.gateway.core.get(ENTRY)
     entry.leave()
     await entry.async_wait()
@@ -37,11 +37,11 @@
 
 
 @pytest.mark.parametrize("path", ["/once/x", "/call/x"])
-def test_a_request_that_waits_at_the_end_of_a_leave_is_answered(path: str) -> None:
-    """A caller whose upstream had sent nothing yet lost its connection when the VM was replaced."""
+def test_a_request_without_an_answer_at_the_end_of_a_leave_is_refused(path: str) -> None:
+    """Guards against a connection that is cut when the VM is replaced and the upstream sent nothing yet."""
 
     async def scenario(local: LocalGateway) -> None:
-        local.engine.misdeeds = [Misdeed.SILENT]
+        local.engine.faults = [EngineFault.SILENT]
         reader, writer = await local.async_open()
         writer.write(make_request("POST", path))
         await asyncio.sleep(0.1)
@@ -55,8 +55,8 @@
     run_local(scenario)
 
 
-def test_a_large_answer_is_written_whole_before_its_connection_ends() -> None:
-    """A caller behind a slow link lost the rest of an answer that was still in this process."""
+def test_a_large_answer_is_written_completely_before_its_connection_ends() -> None:
+    """Guards against a lost rest of an answer that is still in this process, for a caller on a slow link."""
 
     async def scenario(local: LocalGateway) -> None:
         local.engine.events, local.engine.padding = 1, LARGE_BYTES
@@ -73,27 +73,27 @@
     run_local(scenario)
 
 
-def test_a_request_that_crosses_the_close_runs_whole_or_not_at_all() -> None:
-    """Requests on kept connections were passed on while others were closed, and then cut."""
+def test_a_request_sent_while_connections_are_closed_runs_completely_or_not_at_all() -> None:
+    """Guards against requests on idle connections that are forwarded while others are closed, and then cut."""
 
     async def scenario(local: LocalGateway) -> None:
-        kept = [await local.async_open() for _ in range(KEPT_CONNECTIONS)]
+        idle = [await local.async_open() for _ in range(IDLE_CONNECTIONS)]
         entry = local.gateway.core.get(ENTRY)
         entry.leave()
         await entry.async_wait()
-        for number, (_, writer) in enumerate(kept):
+        for number, (_, writer) in enumerate(idle):
             headers = {"Request-Id": f"r{number}", "Deadline-Ms": "250"}
             writer.write(make_request("POST", "/once/x", headers=headers))
         await local.callers.async_close()
-        answers = [await async_read_or_none(reader) for reader, _ in kept]
+        answers = [await async_read_or_none(reader) for reader, _ in idle]
         whole = {a.headers["Request-Id"] for a in answers if a and a.whole and a.status == 200}
         assert {seen.headers["Request-Id"] for seen in local.engine.seen} <= whole
 
     run_local(scenario)
 
 
-def test_a_request_on_a_kept_connection_late_in_a_leave_is_not_begun_and_cut() -> None:
-    """A stream that came on a kept connection late in a leave was begun, and cut in the middle."""
+def test_a_request_on_an_idle_connection_late_in_a_leave_is_refused() -> None:
+    """Guards against a stream that is begun late in a leave, and then cut in the middle."""
 
     async def scenario(local: LocalGateway) -> None:
         local.engine.pause_s = 0.2
--- a/tests/platform_adapter/test_runner.py
+++ b/tests/platform_adapter/test_runner.py
@@ -1,4 +1,4 @@
-"""Runs over kept connections against an engine that answers wrongly."""
+"""Runs over keep-alive connections against an engine that answers wrongly."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,11 +13,11 @@
 from goldcreststair.upstreams.errors import UpstreamError, UpstreamFailure
 from goldcreststair.upstreams.runner import RunEnd, UpstreamRunner
 from tests.helpers.virtual_time import ManualClock
-from tests.platform_adapter.wire_engine import Misdeed, WireEngine, make_event
+from tests.platform_adapter.wire_engine import EngineFault, WireEngine, make_event
 
 
 class Sink:
-    """Keeps what comes."""
+    """Collects the head and the data of an answer."""
 
     def __init__(self, streams: bool = True) -> None:
         self.streams = streams
@@ -32,7 +32,7 @@
 
 
 def make_call(request_id: str = "r1", **changes: object) -> RunCall:
-    """Return a call."""
+    """Return a run call with changed fields."""
     fields: dict[str, object] = {
         "request_id": request_id,
         "method": "POST",
@@ -67,7 +67,7 @@
 async def async_run_call(
     engine: WireEngine, runner: UpstreamRunner, call: RunCall
 ) -> tuple[Result[RunEnd, UpstreamError], Sink]:
-    """Run one call."""
+    """Run one call; returns its end and the sink that collected the answer."""
     sink = Sink()
     return await runner.async_run(engine.address, call, sink), sink
 
@@ -75,7 +75,7 @@
 WHOLE = b"".join(make_event(number) for number in (1, 2, 3))
 
 
-def test_a_run_carries_what_the_engine_needs_and_no_more() -> None:
+def test_a_run_sends_only_the_headers_that_the_engine_needs() -> None:
     async def scenario(engine: WireEngine, runner: UpstreamRunner) -> None:
         end, sink = await async_run_call(engine, runner, make_call(resume_after=1))
         assert isinstance(end, Ok) and sink.data == make_event(2) + make_event(3)
@@ -100,7 +100,7 @@
     run_engine(scenario)
 
 
-def test_connections_are_used_again() -> None:
+def test_connections_are_reused() -> None:
     async def scenario(engine: WireEngine, runner: UpstreamRunner) -> None:
         for number in range(5):
             end, _ = await async_run_call(engine, runner, make_call(f"r{number}"))
@@ -110,16 +110,16 @@
     run_engine(scenario)
 
 
-@pytest.mark.parametrize("misdeed", [Misdeed.EXTRA, Misdeed.EXTRA_LATE])
-def test_an_answer_to_another_request_is_never_passed_on(misdeed: Misdeed) -> None:
-    """A designer got the draft of another one.
+@pytest.mark.parametrize("fault", [EngineFault.EXTRA, EngineFault.EXTRA_LATE])
+def test_an_answer_to_another_request_is_never_forwarded(fault: EngineFault) -> None:
+    """Guards against a caller that gets the answer to another caller's request.
 
-    An engine sent one answer twice; the second stood where the answer to the next request on that
-    connection was due. The id tells it apart, whether it is there before the next request or after.
+    An engine sends an extra answer on a connection, where the answer to the next request is expected.
+    Its request id tells it apart, whether it arrives before the next request or after.
     """
 
     async def scenario(engine: WireEngine, runner: UpstreamRunner) -> None:
-        engine.misdeeds = [misdeed]
+        engine.faults = [fault]
         await async_run_call(engine, runner, make_call("r1"))
         await asyncio.sleep(0.05)
         end, sink = await async_run_call(engine, runner, make_call("r2"))
@@ -130,19 +130,19 @@
 
 
 @pytest.mark.parametrize(
-    ("misdeed", "failure"),
+    ("fault", "failure"),
     [
-        (Misdeed.CUT, UpstreamFailure.LOST),
-        (Misdeed.UNFRAMED_RESET, UpstreamFailure.LOST),
-        (Misdeed.GARBAGE, UpstreamFailure.LOST),
-        (Misdeed.NOT_RUN, UpstreamFailure.REFUSED),
-        (Misdeed.MISDIRECTED, UpstreamFailure.REFUSED),
-        (Misdeed.SILENT, UpstreamFailure.TIMEOUT),
+        (EngineFault.CUT, UpstreamFailure.LOST),
+        (EngineFault.UNFRAMED_RESET, UpstreamFailure.LOST),
+        (EngineFault.GARBAGE, UpstreamFailure.LOST),
+        (EngineFault.NOT_RUN, UpstreamFailure.REFUSED),
+        (EngineFault.MISDIRECTED, UpstreamFailure.REFUSED),
+        (EngineFault.SILENT, UpstreamFailure.TIMEOUT),
     ],
 )
-def test_what_went_wrong_is_told_apart(misdeed: Misdeed, failure: UpstreamFailure) -> None:
+def test_failures_are_classified(fault: EngineFault, failure: UpstreamFailure) -> None:
     async def scenario(engine: WireEngine, runner: UpstreamRunner) -> None:
-        engine.misdeeds = [misdeed]
+        engine.faults = [fault]
         end, _ = await async_run_call(engine, runner, make_call(deadline_ms=300))
         assert isinstance(end, Err) and end.err_value.failure is failure
         again, sink = await async_run_call(engine, runner, make_call("r2"))
@@ -151,10 +151,10 @@
     run_engine(scenario)
 
 
-@pytest.mark.parametrize("misdeed", [Misdeed.UNFRAMED, Misdeed.CLOSES])
-def test_an_answer_that_ends_with_its_connection_is_whole(misdeed: Misdeed) -> None:
+@pytest.mark.parametrize("fault", [EngineFault.UNFRAMED, EngineFault.CLOSES])
+def test_an_answer_that_ends_with_its_connection_is_complete(fault: EngineFault) -> None:
     async def scenario(engine: WireEngine, runner: UpstreamRunner) -> None:
-        engine.misdeeds = [misdeed]
+        engine.faults = [fault]
         end, sink = await async_run_call(engine, runner, make_call("r1"))
         assert isinstance(end, Ok) and sink.data == WHOLE
         await async_run_call(engine, runner, make_call("r2"))
@@ -163,15 +163,15 @@
     run_engine(scenario)
 
 
-def test_a_connection_whose_engine_answered_before_it_read_the_body_is_not_used_again() -> None:
-    """An engine took the head of the next request for the rest of a body.
+def test_a_connection_whose_engine_answered_before_it_read_the_body_is_not_reused() -> None:
+    """Guards against an engine that takes the next request for the rest of a body.
 
-    It had answered a failure before the long body was read, and read on. Another request on that
-    connection would have been taken for the body's rest.
+    It answers a failure before it has read a long body, and reads on: another request on that connection
+    would be read as part of the body.
     """
 
     async def scenario(engine: WireEngine, runner: UpstreamRunner) -> None:
-        engine.misdeeds = [Misdeed.EARLY]
+        engine.faults = [EngineFault.EARLY]
         end, _ = await async_run_call(engine, runner, make_call("r1", body=b"x" * 8_000_000))
         assert isinstance(end, Ok) and end.ok_value.head.status == 500
         again, sink = await async_run_call(engine, runner, make_call("r2"))
@@ -183,7 +183,7 @@
 
 def test_a_cancelled_run_closes_its_connection() -> None:
     async def scenario(engine: WireEngine, runner: UpstreamRunner) -> None:
-        engine.misdeeds = [Misdeed.SILENT]
+        engine.faults = [EngineFault.SILENT]
         run = asyncio.create_task(async_run_call(engine, runner, make_call("r1")))
         await asyncio.sleep(0.1)
         run.cancel()
@@ -193,8 +193,8 @@
     run_engine(scenario)
 
 
-def test_a_kept_connection_past_its_time_does_not_count() -> None:
-    """Items lay beside free slots: connections that nobody could use any more counted as open."""
+def test_an_expired_idle_connection_does_not_count_as_open() -> None:
+    """Guards against items that wait while slots are free, as unusable connections count as open."""
 
     async def scenario(engine: WireEngine, _: UpstreamRunner) -> None:
         clock = ManualClock()
@@ -208,7 +208,7 @@
     run_engine(scenario)
 
 
-def test_nobody_listens() -> None:
+def test_a_refused_connection_is_reported_as_not_run() -> None:
     async def scenario(engine: WireEngine, runner: UpstreamRunner) -> None:
         await engine.async_close()
         end, _ = await async_run_call(engine, runner, make_call())
--- a/tests/platform_adapter/test_store.py
+++ b/tests/platform_adapter/test_store.py
@@ -1,4 +1,4 @@
-"""The store's client against the wire form, with its faults."""
+"""The client of the platform's store against a stand-in over HTTP, with faults."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -63,7 +63,7 @@
     run_store(scenario)
 
 
-def test_a_feed_brings_changes_and_removals_and_tells_of_lost_history() -> None:
+def test_a_feed_delivers_changes_and_removals_and_reports_compacted_history() -> None:
     async def scenario(store: PlatformStore, wire: WireStore) -> None:
         wire.store.put(KEY, b"1")
         page = (await store.async_follow("jobs", 0, 100)).unwrap()
@@ -82,7 +82,7 @@
     run_store(scenario)
 
 
-def test_objects_are_put_once() -> None:
+def test_an_object_is_not_overwritten() -> None:
     async def scenario(store: PlatformStore, wire: WireStore) -> None:
         assert (await store.async_put_object("c.j.1", b"items")).is_ok()
         again = await store.async_put_object("c.j.1", b"other")
@@ -104,13 +104,13 @@
         (0, True, PlatformOutcomeUnknown),
     ],
 )
-def test_a_refusal_had_no_effect_and_a_lost_answer_may_have_had(
+def test_a_refusal_means_no_effect_and_a_lost_answer_an_unknown_outcome(
     status: int, reset: bool, error: type[PlatformUnavailable]
 ) -> None:
-    """A job ran that its caller had been told was refused.
+    """Guards against a job that runs although its caller was told that it was refused.
 
-    The store had made the transaction and its answer was lost: only an answer of the store says that
-    nothing was done, and a connection that breaks says nothing.
+    The store applied the transaction and its answer was lost. Only an answer proves that nothing was
+    done; a broken connection proves nothing.
     """
 
     async def scenario(store: PlatformStore, wire: WireStore) -> None:
@@ -124,19 +124,19 @@
     run_store(scenario)
 
 
-def test_a_silent_feed_is_given_up_soon_after_its_wait() -> None:
+def test_a_feed_call_without_an_answer_fails_soon_after_its_wait() -> None:
     async def scenario(store: PlatformStore, wire: WireStore) -> None:
         wire.faults.silent = True
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         followed = await store.async_follow("jobs", 0, 100)
         assert isinstance(followed, Err)
-        assert loop.time() - began < 2
+        assert loop.time() - started_at < 2
 
     run_store(scenario)
 
 
-def test_a_store_that_nobody_serves_is_unavailable() -> None:
+def test_a_store_that_refuses_connections_is_unavailable() -> None:
     async def scenario(store: PlatformStore, wire: WireStore) -> None:
         wire.stop()
         made = await store.async_commit(Transaction(puts=((KEY, b"v"),)))
--- a/tests/platform_adapter/wire_engine.py
+++ b/tests/platform_adapter/wire_engine.py
@@ -1,4 +1,4 @@
-"""An engine on the wire, byte by byte, so that it can answer wrongly in every way that engines do."""
+"""An engine that writes its answers byte by byte, so that it can produce any kind of wrong answer."""
 
 import asyncio
 import socket
@@ -8,30 +8,30 @@
 from enum import StrEnum
 
 
-class Misdeed(StrEnum):
-    """What an engine does wrong with one answer."""
+class EngineFault(StrEnum):
+    """A fault of an engine in one answer."""
 
     NONE = "none"
     EXTRA = "extra"
-    """Sends a whole second answer, which belongs to no request."""
+    """Sends a complete second answer, which belongs to no request."""
     EXTRA_LATE = "extra_late"
-    """The same, where the next answer is due."""
+    """The same, but after the next request has arrived, before its answer."""
     CUT = "cut"
-    """Closes in the middle of an event."""
+    """Closes the connection in the middle of an event."""
     UNFRAMED = "unframed"
-    """Gives no length; the answer ends with its connection."""
+    """Sends no length; the answer ends with its connection."""
     UNFRAMED_RESET = "unframed_reset"
     """The same, and the connection is reset before its end."""
     GARBAGE = "garbage"
-    """Sends bytes that are no answer."""
+    """Sends bytes that are not an HTTP answer."""
     NOT_RUN = "not_run"
     MISDIRECTED = "misdirected"
     CLOSES = "closes"
-    """Answers well and closes the connection with it."""
+    """Answers correctly, then closes the connection."""
     EARLY = "early"
-    """Answers a failure before it has read the body, and reads on."""
+    """Answers a failure before it has read the body, and continues to read."""
     SILENT = "silent"
-    """Answers nothing."""
+    """Sends no answer."""
 
 
 @dataclass(slots=True)
@@ -46,16 +46,16 @@
 
 @dataclass(slots=True)
 class WireEngine:
-    """One engine behind one port."""
+    """An engine that listens on one port."""
 
     name: str = "i-1"
     events: int = 3
     padding: int = 0
     """Bytes added to each event."""
     pause_s: float = 0.0
-    """Time from one event to the next; none sends the whole answer at once."""
-    misdeeds: list[Misdeed] = field(default_factory=list)
-    """What to do with the next answers, in order; then nothing wrong."""
+    """Time between events, s; 0 sends the whole answer at once."""
+    faults: list[EngineFault] = field(default_factory=list)
+    """Faults of the next answers, in order; later answers are correct."""
     seen: list[SeenRequest] = field(default_factory=list)
     address: str = ""
     connections: int = 0
@@ -91,41 +91,41 @@
     ) -> bool:
         head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
         headers = dict(line.split(": ", 1) for line in head[1:] if line)
-        misdeed = self.misdeeds.pop(0) if self.misdeeds else Misdeed.NONE
+        fault = self.faults.pop(0) if self.faults else EngineFault.NONE
         request_id = headers.get("Request-Id", "")
-        if misdeed is Misdeed.EARLY:
+        if fault is EngineFault.EARLY:
             writer.write(make_head(500, request_id, "Content-Length: 3") + b"bad")
             await writer.drain()
         body = await reader.readexactly(int(headers.get("Content-Length", "0")))
         self.seen.append(SeenRequest(head[0], headers, body, number))
-        if misdeed is Misdeed.EARLY:
+        if fault is EngineFault.EARLY:
             return True
         if self._late:
             writer.write(self._late)
             self._late = b""
-        answers: dict[Misdeed, Callable[..., Awaitable[bool]]] = {
-            Misdeed.CUT: self._async_cut,
-            Misdeed.UNFRAMED: self._async_unframed,
-            Misdeed.UNFRAMED_RESET: self._async_unframed_reset,
-            Misdeed.GARBAGE: self._async_garbage,
-            Misdeed.NOT_RUN: self._async_not_run,
-            Misdeed.MISDIRECTED: self._async_misdirected,
-            Misdeed.SILENT: self._async_silent,
+        answers: dict[EngineFault, Callable[..., Awaitable[bool]]] = {
+            EngineFault.CUT: self._async_cut,
+            EngineFault.UNFRAMED: self._async_unframed,
+            EngineFault.UNFRAMED_RESET: self._async_unframed_reset,
+            EngineFault.GARBAGE: self._async_garbage,
+            EngineFault.NOT_RUN: self._async_not_run,
+            EngineFault.MISDIRECTED: self._async_misdirected,
+            EngineFault.SILENT: self._async_silent,
         }
         first = int(headers.get("Last-Event-Id", "0")) + 1
-        wrong = answers.get(misdeed)
-        if wrong is not None:
-            return await wrong(writer, request_id, first)
+        faulty = answers.get(fault)
+        if faulty is not None:
+            return await faulty(writer, request_id, first)
         if self.pause_s:
             return await self._async_slow(writer, request_id, first)
-        closes = "Connection: close\r\n" if misdeed is Misdeed.CLOSES else ""
+        closes = "Connection: close\r\n" if fault is EngineFault.CLOSES else ""
         writer.write(make_stream(request_id, first, self.events, closes, self.padding))
-        if misdeed is Misdeed.EXTRA:
+        if fault is EngineFault.EXTRA:
             writer.write(make_stream("other", 1, 2))
-        if misdeed is Misdeed.EXTRA_LATE:
+        if fault is EngineFault.EXTRA_LATE:
             self._late = make_stream("other", 1, 2)
         await writer.drain()
-        return misdeed is not Misdeed.CLOSES
+        return fault is not EngineFault.CLOSES
 
     async def _async_slow(self, writer: asyncio.StreamWriter, request_id: str, first: int) -> bool:
         whole = make_stream(request_id, first, self.events)
@@ -188,12 +188,12 @@
 
 
 def make_event(number: int, padding: int = 0) -> bytes:
-    """Return one event."""
+    """Return one event of a stream."""
     return f"id: {number}\ndata: word{number}{'x' * padding}\n\n".encode()
 
 
 def make_head(status: int, request_id: str, more: str) -> bytes:
-    """Return the head of an answer."""
+    """Return the head of an answer, with the headers `more`."""
     return (
         f"HTTP/1.1 {status} X\r\nRequest-Id: {request_id}\r\nResponse-Stamp: s\r\n"
         f"Server-Load: 3,1,8\r\nKeep-Alive: timeout=10\r\n{more}\r\n\r\n"
@@ -203,7 +203,7 @@
 def make_stream(
     request_id: str, first: int, events: int, more: str = "", padding: int = 0
 ) -> bytes:
-    """Return a whole streamed answer."""
+    """Return a complete streamed answer."""
     head = make_head(200, request_id, f"{more}Transfer-Encoding: chunked")
     chunks = b""
     for number in range(first, events + 1):
--- a/tests/platform_adapter/wire_store.py
+++ b/tests/platform_adapter/wire_store.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP: a thin view of the stand-in's rows, with faults of the wire."""
+"""Serves the stand-in's rows in the wire format of the platform's store, with injected faults."""
 
 import asyncio
 import base64
@@ -17,21 +17,21 @@
 
 @dataclass(slots=True)
 class WireFaults:
-    """Faults of the wire; tests change them at any time."""
+    """Faults of the server; tests may change them at any time."""
 
     status: int = 0
-    """Answer every call with this status, if any."""
+    """Answer every call with this status; 0 for none."""
     reset: bool = False
     """Close every connection without an answer, after the call took effect."""
     reset_commits: bool = False
-    """The same for transactions only."""
+    """The same, but only for transactions."""
     silent: bool = False
-    """Answer nothing and keep the connection open."""
+    """Send no answer and keep the connection open."""
 
 
 @dataclass(slots=True)
 class WireStore:
-    """One store behind one port."""
+    """A store that listens on one port."""
 
     store: FakeRowStore
     faults: WireFaults = field(default_factory=WireFaults)
@@ -62,7 +62,7 @@
 
 
 class StoreHandler(RequestHandler):
-    """What all calls share."""
+    """Base of all handlers: applies the faults and encodes answers."""
 
     def initialize(self, wire: WireStore, view: StoreView) -> None:
         self.wire = wire
@@ -135,14 +135,14 @@
 
 class ReadHandler(StoreHandler):
     async def get(self) -> None:
-        wanted = RowRange(
+        row_range = RowRange(
             self.get_query_argument("table"),
             self.get_query_argument("part"),
             self.get_query_argument("from", "", strip=False),
             self.get_query_argument("target", "", strip=False),
             int(self.get_query_argument("limit", "500")),
         )
-        page = (await self.view.async_read(wanted)).unwrap()
+        page = (await self.view.async_read(row_range)).unwrap()
         await self.answer_rows(page.rows, page.truncated)
 
 
