--- a/tests/platform_adapter/soak/__init__.py
+++ b/tests/platform_adapter/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Gateway daemons as processes under seeded faults of connections and signals."""
+"""Soak test: gateway daemons as processes under seeded connection faults and signals."""
--- a/tests/platform_adapter/soak/__main__.py
+++ b/tests/platform_adapter/soak/__main__.py
@@ -27,8 +27,8 @@
 from tests.platform_adapter.soak.engine import SoakEngine
 from tests.platform_adapter.soak.faults import (
     Fault,
+    FaultInjector,
     PlannedEvacuation,
-    Saboteur,
     plan_evacuations,
     plan_faults,
 )
@@ -36,19 +36,20 @@
 from tests.platform_adapter.soak.record import Evacuation, Record
 from tests.platform_adapter.wire_store import WireStore
 
-app = App(help="Gateway daemons as processes under seeded faults of connections and signals.")
+app = App(help="Run gateway daemons as processes under seeded connection faults and signals.")
 
 ADDRESSES: Final = ("127.0.0.1", "127.0.0.2", "127.0.0.3")
 ENGINES: Final = 3
 CALLERS: Final = 20
 UPSTREAM_WEIGHT: Final = 3
-"""A proxy before an upstream gets so many times the faults of another."""
+"""How many times more faults a proxy before an upstream gets than any other proxy."""
 LISTED_WITHIN_S: Final = 30.0
+"""How long accepted items may take to be listed after the last fault."""
 
 
 @dataclass(slots=True)
 class Site:
-    """Daemons, upstreams and a store, with a proxy on each path between them and to callers."""
+    """Daemons, upstreams and a store, with a proxy on every path between them and from callers."""
 
     folder: Path
     record: Record = field(default_factory=Record)
@@ -58,7 +59,7 @@
     proxies: list[Proxy] = field(default_factory=list)
 
     async def async_start(self) -> None:
-        """Start everything and wait until all daemons take callers."""
+        """Start everything and wait until all daemons are ready."""
         self.store.start()
         config = copy.deepcopy(CONFIG)
         self.store.store.put(RowKey("op", "", "config"), orjson.dumps(config))
@@ -70,7 +71,7 @@
         await asyncio.gather(*(daemon.async_start() for daemon in self.daemons))
 
     async def async_close(self) -> None:
-        """End everything."""
+        """Stop everything."""
         await asyncio.gather(*(daemon.async_close() for daemon in self.daemons))
         for proxy in self.proxies:
             proxy.close()
@@ -80,22 +81,22 @@
 
     async def async_evacuate(self, planned: Sequence[PlannedEvacuation]) -> None:
         """Evacuate one data centre after the other, as operators do."""
-        began = time.monotonic()
+        started_at = time.monotonic()
         for each in planned:
-            await asyncio.sleep(max(0.0, began + each.at_s - time.monotonic()))
+            await asyncio.sleep(max(0.0, started_at + each.at_s - time.monotonic()))
             number = each.target % len(self.engines)
             row = RowKey("op", "", f"evacuate/{_name_zone(number)}")
             self.store.store.put(row, b"{}")
-            seen = Evacuation(self.engines[number].name, time.monotonic())
-            self.record.evacuations.append(seen)
+            evacuation = Evacuation(self.engines[number].name, time.monotonic())
+            self.record.evacuations.append(evacuation)
             await asyncio.sleep(each.lasts_s)
-            seen.until = time.monotonic()
+            evacuation.until = time.monotonic()
             self.store.store.drop(row)
 
     async def _async_add_engine(self, name: str) -> None:
         engine = SoakEngine(name, runs=self.record.runs)
         await engine.async_start()
-        proxy = await self._async_add_proxy(name, engine.address, keeps=True)
+        proxy = await self._async_add_proxy(name, engine.address, records=True)
         engine.address = proxy.address
         register(self.store, engine, zone=_name_zone(len(self.engines)))
         self.engines.append(engine)
@@ -108,8 +109,8 @@
         front = await self._async_add_proxy(f"front-{address}", plan.front)
         self.daemons.append(Daemon(plan, front, self.record, self.folder / f"{address}.log"))
 
-    async def _async_add_proxy(self, name: str, target: str, keeps: bool = False) -> Proxy:
-        proxy = Proxy(name, target, self.record.attempts if keeps else [])
+    async def _async_add_proxy(self, name: str, target: str, records: bool = False) -> Proxy:
+        proxy = Proxy(name, target, self.record.attempts if records else [])
         await proxy.async_start()
         self.proxies.append(proxy)
         return proxy
@@ -121,7 +122,7 @@
 
 @contextlib.asynccontextmanager
 async def async_open_site(folder: Path) -> AsyncIterator[Site]:
-    """Start a site, and end it in any case."""
+    """Start a site; it is stopped in any case."""
     site = Site(folder)
     try:
         await site.async_start()
@@ -133,12 +134,12 @@
 async def async_soak(
     seed: int, seconds: float, folder: Path, pauses_ms: Sequence[int] = PAUSES_MS
 ) -> tuple[Record, list[Fault]]:
-    """Play a seed and return what was seen."""
+    """Run the faults of a seed; returns the observations and the faults."""
     chooser = random.Random(seed)
     faults = plan_faults(seed, seconds)
     async with async_open_site(folder) as site:
         proxies = site.proxies[:ENGINES] * UPSTREAM_WEIGHT + site.proxies[ENGINES:]
-        saboteur = Saboteur(site.daemons, site.engines, proxies, chooser)
+        injector = FaultInjector(site.daemons, site.engines, proxies, chooser)
         ended = asyncio.Event()
         callers = [
             Caller(f"c{n}", site.daemons, site.record, random.Random(f"{seed}-{n}"), pauses_ms)
@@ -148,7 +149,7 @@
             for caller in callers:
                 tasks.create_task(caller.async_run(ended))
             evacuating = tasks.create_task(site.async_evacuate(plan_evacuations(seed, seconds)))
-            await saboteur.async_run(faults)
+            await injector.async_run(faults)
             ended.set()
             evacuating.cancel()
         await async_read_jobs(site.daemons, site.record, time.monotonic() + LISTED_WITHIN_S)
@@ -156,7 +157,7 @@
 
 
 def print_report(record: Record, faults: list[Fault], violations: list[Violation]) -> None:
-    """Print what was played, seen and broken."""
+    """Print a summary of the faults, the observations and the broken promises."""
     print(f"faults: {dict(Counter(fault.kind.value for fault in faults))}")
     print(f"answers: {dict(Counter((x.route, x.status, x.whole) for x in record.exchanges))}")
     excuses = Counter(str(excuse) for _, _, excuse in list_unanswered(record))
@@ -169,8 +170,8 @@
 
 @app.default
 def main(seed: int = 1, seconds: float = 30.0) -> None:
-    """Play a seed, print what was seen, and end with status 1 if a promise was broken."""
-    # The store's own server tells of each connection that a fault broke.
+    """Run a seed, print a summary, and exit with status 1 if a promise was broken."""
+    # The stand-in store's server would log every connection that a fault broke.
     logging.getLogger("tornado").setLevel(logging.CRITICAL)
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     print(f"seed {seed}, {seconds} s, logs in {folder}")
--- a/tests/platform_adapter/soak/callers.py
+++ b/tests/platform_adapter/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections open until these end."""
+"""Callers that reuse their connection until it ends."""
 
 import asyncio
 import base64
@@ -19,7 +19,7 @@
 PATHS: Final = {"stream": "/stream/x", "once": "/once/x", "call": "/call/x", "batch": "/batch/x"}
 ROUTES: Final = ("stream", "stream", "stream", "once", "once", "call", "batch")
 PAUSES_MS: Final = (0, 10, 50, 100, 180)
-"""From one event of an upstream to the next."""
+"""Time between two events of an upstream, chosen for each request."""
 DEADLINE_S: Final = 5.0
 WAIT_AFTER_DEADLINE_S: Final = 2.0
 PAUSE_S: Final = 0.1
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class Caller:
-    """Sends one request after the other on one connection."""
+    """Sends one request after the other; opens a new connection when one ends."""
 
     name: str
     daemons: Sequence[Daemon]
@@ -41,11 +41,11 @@
     _numbers: "itertools.count[int]" = field(default_factory=lambda: itertools.count(1))
 
     async def async_run(self, ended: asyncio.Event) -> None:
-        """Send until this is set."""
+        """Send requests until `ended` is set."""
         while not ended.is_set():
-            named = [daemon for daemon in self.daemons if daemon.named]
+            listed = [daemon for daemon in self.daemons if daemon.listed]
             try:
-                daemon = self.chooser.choice(named)
+                daemon = self.chooser.choice(listed)
                 reader, writer = await async_open(daemon.front.address)
             except (IndexError, OSError):
                 await asyncio.sleep(RECONNECT_S)
@@ -62,7 +62,7 @@
     async def _async_exchange(
         self, daemon: Daemon, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Send one request; returns whether the connection serves another."""
+        """Send one request and record the outcome; returns whether the connection can be reused."""
         request, route = f"{self.name}-{next(self._numbers)}", self.chooser.choice(ROUTES)
         headers = self._choose_work()
         body = make_job(request, headers) if route == "batch" else b"x"
@@ -101,7 +101,7 @@
 
 
 def make_job(job: str, headers: dict[str, str]) -> bytes:
-    """Return a submission."""
+    """Return the body of a submission."""
     fields: dict[str, Any] = {"Model": "m", "Token-Count": "5,5"} | headers
     body = base64.b64encode(b"x").decode()
     items = [
@@ -112,7 +112,7 @@
 
 
 def list_items(job: str, headers: dict[str, str]) -> list[Item]:
-    """Return the items of a submission with the text that each is to have."""
+    """Return the items of a submission with their expected texts."""
     names = [f"{job}.{number}" for number in range(JOB_ITEMS)]
     events = int(headers[EVENTS_HEADER])
     texts = ["\n".join(f"{name} {n}" for n in range(1, events + 1)) for name in names]
@@ -126,7 +126,7 @@
 
 
 async def async_read_or_none(reader: asyncio.StreamReader, wait_s: float) -> HttpAnswer | None:
-    """Return the answer, or None without a readable one."""
+    """Return the answer, or None if there is none within `wait_s` or it cannot be read."""
     try:
         return await asyncio.wait_for(async_read_answer(reader), wait_s)
     except (asyncio.IncompleteReadError, ConnectionError, TimeoutError, ValueError):
@@ -134,7 +134,7 @@
 
 
 async def async_read_jobs(daemons: Sequence[Daemon], record: Record, until: float) -> None:
-    """Read each accepted job until all its items are listed, at the latest until this time."""
+    """Read each accepted job until all its items are listed, or until the time `until`."""
     jobs = sorted({item.job for item in record.accepted})
     for job in jobs:
         items: list[Item] = []
--- a/tests/platform_adapter/soak/checker.py
+++ b/tests/platform_adapter/soak/checker.py
@@ -1,4 +1,4 @@
-"""Finds broken promises in what was seen from outside."""
+"""Finds broken promises in observations from outside the daemons."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterator
@@ -19,15 +19,17 @@
 NOT_RUN: Final = frozenset((429, 503))
 DEADLINE_SLACK_S: Final = 0.1
 CLOSING_S: Final = 0.6
-"""A request that is sent so long before a process ends may cross the close of its connection."""
+"""A request sent at most this long before a process ends may arrive after its connection was closed."""
 LATE_IN_LEAVE_S: Final = 3.0
+"""A request sent at most this long before or after SIGTERM may still run when the grace period ends."""
 EVACUATED_S: Final = 5.0
-"""By when nothing more may reach an upstream of an evacuated data centre."""
+"""Time after which no new request may reach an upstream of an evacuated data centre."""
 LAST_PART_S: Final = GRACE_S * 5 / 6
+"""Time after SIGTERM from which running requests may be cut."""
 
 
 class Promise(StrEnum):
-    """What callers may rely on."""
+    """A guarantee to callers or operators."""
 
     ANSWERED = "answered"
     WHOLE = "whole"
@@ -58,7 +60,7 @@
 
 
 class Excuse(StrEnum):
-    """Why a request may be without a whole answer."""
+    """Why a request may have no complete answer."""
 
     CUT = "its own connection was disturbed"
     DEADLINE = "its deadline passed"
@@ -69,7 +71,7 @@
 
 
 def find_unanswered(record: Record) -> Iterator[Violation]:
-    """Yield requests that have no whole answer, and no reason for it."""
+    """Yield requests without a complete answer and without an excuse for it."""
     for seen, tried, excuse in list_unanswered(record):
         if excuse is None:
             detail = f"{_describe(seen)}, attempts {tried}"
@@ -77,7 +79,7 @@
 
 
 def list_unanswered(record: Record) -> Iterator[tuple[Exchange, list[Attempt], Excuse | None]]:
-    """Yield requests without a whole answer, their attempts in order, and the reason, if any."""
+    """Yield requests without a complete answer, their attempts in order, and the excuse, if any."""
     attempts: dict[str, list[Attempt]] = defaultdict(list)
     for attempt in sorted(record.attempts, key=lambda attempt: attempt.at):
         attempts[attempt.request].append(attempt)
@@ -121,7 +123,7 @@
 
 
 def find_wrong_texts(record: Record) -> Iterator[Violation]:
-    """Yield streams with events that are missing, doubled or out of order."""
+    """Yield streams with missing, duplicate or misordered events."""
     for seen in record.exchanges:
         if seen.status != 200 or seen.route == "batch":
             continue
@@ -132,7 +134,7 @@
 
 
 def find_wrong_runs(record: Record) -> Iterator[Violation]:
-    """Yield requests that ran more often than their answer or their route allows."""
+    """Yield requests that ran more often than their answer or route allows."""
     runs = Counter(run.request for run in record.runs)
     for seen in record.exchanges:
         count = runs[seen.request]
@@ -143,7 +145,7 @@
 
 
 def find_wrong_listings(record: Record) -> Iterator[Violation]:
-    """Yield accepted items that are not listed exactly once with their whole text."""
+    """Yield accepted items that are not listed exactly once with their complete text."""
     listed: dict[tuple[str, str], list[Item]] = defaultdict(list)
     for item in record.listed:
         listed[(item.job, item.item)].append(item)
--- a/tests/platform_adapter/soak/daemons.py
+++ b/tests/platform_adapter/soak/daemons.py
@@ -1,4 +1,4 @@
-"""Gateway daemons as processes, and the signals that they get."""
+"""Gateway daemons as processes, controlled by signals."""
 
 import asyncio
 import contextlib
@@ -15,15 +15,15 @@
 
 ROOT: Final = Path(__file__).resolve().parents[3]
 KILL_AFTER_S: Final = GRACE_S + 0.5
-NAMED_S: Final = 3.0
-"""Callers keep an answer with addresses so long."""
-READY_LOOKS: Final = 400
-READY_LOOK_S: Final = 0.05
+ADDRESS_CACHE_S: Final = 3.0
+"""How long callers cache addresses, and so may still use that of a daemon that leaves."""
+READY_POLLS: Final = 400
+READY_POLL_S: Final = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class DaemonPlan:
-    """Where one daemon listens, and through what it reaches the store."""
+    """Addresses of one daemon, and the address at which it reaches the store."""
 
     address: str
     front_port: int
@@ -38,7 +38,7 @@
         return f"{self.address}:{self.front_port}"
 
     def list_arguments(self) -> list[str]:
-        """Return the command line."""
+        """Return the command line that starts the daemon."""
         flags = {
             "address": self.address,
             "data-centre": "dc-a",
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class Daemon:
-    """One daemon, started again after each end."""
+    """One daemon process, restarted each time that it ends."""
 
     plan: DaemonPlan
     front: Proxy
@@ -63,7 +63,7 @@
     log: Path
     _process: asyncio.subprocess.Process | None = None
     _absence: Absence | None = None
-    _named_until: float = float("inf")
+    _listed_until: float = float("inf")
     _signals: asyncio.Lock = field(default_factory=asyncio.Lock)
 
     @property
@@ -72,44 +72,44 @@
         return self.plan.address
 
     @property
-    def named(self) -> bool:
-        """Return whether callers may still hold an answer that leads here."""
-        return time.monotonic() < self._named_until
+    def listed(self) -> bool:
+        """Return whether callers may still have this daemon's address."""
+        return time.monotonic() < self._listed_until
 
     @property
     def busy(self) -> bool:
-        """Return whether an earlier signal is still being followed."""
+        """Return whether an earlier signal is still being handled."""
         return self._signals.locked()
 
     async def async_start(self) -> None:
-        """Start the process and wait until it takes callers."""
+        """Start the process and wait until it is ready."""
         with self.log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
                 *self.plan.list_arguments(), stdout=log, stderr=log, env=_make_environment()
             )
         await self._async_wait_ready()
-        self._named_until = float("inf")
+        self._listed_until = float("inf")
         if self._absence is not None:
             self._absence.until = time.monotonic()
 
     async def async_stop(self) -> None:
-        """Follow SIGTERM to its end, as the platform does, and start again."""
+        """Send SIGTERM, wait for the end as the platform does, and restart the process."""
         async with self._signals:
-            self._named_until = time.monotonic() + NAMED_S
+            self._listed_until = time.monotonic() + ADDRESS_CACHE_S
             self._send(signal.SIGTERM)
             await self._async_end()
             await self.async_start()
 
-    async def async_kill(self, away_s: float) -> None:
-        """Kill the process and start it again later."""
+    async def async_kill(self, down_s: float) -> None:
+        """Kill the process and restart it after `down_s`."""
         async with self._signals:
             self._send(signal.SIGKILL)
             await self._async_end()
-            await asyncio.sleep(away_s)
+            await asyncio.sleep(down_s)
             await self.async_start()
 
     async def async_pause(self, paused_s: float) -> None:
-        """Stop the process for a while, its connections stay open."""
+        """Pause the process for `paused_s`; its connections stay open."""
         async with self._signals:
             self._send(signal.SIGSTOP)
             try:
@@ -118,7 +118,7 @@
                 self._send(signal.SIGCONT)
 
     async def async_close(self) -> None:
-        """End the process at once; all has been read."""
+        """Kill the process; called when all observations have been made."""
         self._send(signal.SIGKILL)
         if self._process is not None:
             await self._process.wait()
@@ -136,17 +136,17 @@
         try:
             await asyncio.wait_for(self._process.wait(), KILL_AFTER_S)
         except TimeoutError:
-            # No fault of ours: what is lost by this kill is the daemon's.
+            # Not recorded as an injected kill: the daemon is to blame for what it loses by this one.
             self._process.kill()
             await self._process.wait()
         self._absence = Absence(self.name, time.monotonic())
         self.record.absences.append(self._absence)
 
     async def _async_wait_ready(self) -> None:
-        for _ in range(READY_LOOKS):
+        for _ in range(READY_POLLS):
             if await self._async_is_ready():
                 return
-            await asyncio.sleep(READY_LOOK_S)
+            await asyncio.sleep(READY_POLL_S)
         raise TimeoutError(f"{self.name} is not ready, see {self.log}")
 
     async def _async_is_ready(self) -> bool:
--- a/tests/platform_adapter/soak/engine.py
+++ b/tests/platform_adapter/soak/engine.py
@@ -1,4 +1,4 @@
-"""An upstream whose events name their request, and that notes what it runs."""
+"""An upstream whose events contain their request id, and that records its runs."""
 
 import asyncio
 import time
@@ -13,7 +13,7 @@
 
 
 def make_event(request: str, number: int) -> bytes:
-    """Return one event."""
+    """Return one event of a request."""
     return f"id: {number}\ndata: {request} {number}\n\n".encode()
 
 
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class SoakEngine(WireEngine):
-    """Runs what it is sent, unless it is told to refuse."""
+    """Runs every request, or refuses all of them as not run while `refuses` is set."""
 
     refuses: bool = False
     runs: list[Run] = field(default_factory=list)
--- a/tests/platform_adapter/soak/faults.py
+++ b/tests/platform_adapter/soak/faults.py
@@ -1,4 +1,4 @@
-"""Seeded series of faults that overlap."""
+"""Seeded, overlapping series of faults, and their injection."""
 
 import asyncio
 import random
@@ -18,13 +18,13 @@
 LONGEST_S: Final = 2.0
 LONGEST_DELAY_S: Final = 0.3
 EVACUATION_S: Final = (6.0, 12.0)
-"""Shortest and longest: beyond the time in which all daemons have to know."""
+"""Shortest and longest evacuation: longer than all daemons may take to apply one."""
 SHARE: Final = 0.5
-"""Part of the open connections that a fault of connections meets."""
+"""Share of a proxy's open connections that a connection fault affects."""
 
 
-class Kind(StrEnum):
-    """What a fault does."""
+class FaultKind(StrEnum):
+    """Kind of a fault."""
 
     DELAY = "delay"
     RESET = "reset"
@@ -37,24 +37,30 @@
     PAUSE = "pause"
 
 
-LINK_KINDS: Final = (Kind.DELAY, Kind.RESET, Kind.HOLD_TO, Kind.HOLD_FROM, Kind.SILENCE)
-DAEMON_KINDS: Final = (Kind.STOP, Kind.STOP, Kind.KILL, Kind.PAUSE)
+LINK_KINDS: Final = (
+    FaultKind.DELAY,
+    FaultKind.RESET,
+    FaultKind.HOLD_TO,
+    FaultKind.HOLD_FROM,
+    FaultKind.SILENCE,
+)
+DAEMON_KINDS: Final = (FaultKind.STOP, FaultKind.STOP, FaultKind.KILL, FaultKind.PAUSE)
 LINK_SHARE: Final = 0.75
 REFUSE_SHARE: Final = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault of a series; `target` counts within what its kind meets."""
+    """One fault of a series; `target` is an index, modulo the number of objects that its kind can affect."""
 
     at_s: float
-    kind: Kind
+    kind: FaultKind
     target: int
     lasts_s: float
 
 
 def plan_faults(seed: int, seconds: float) -> list[Fault]:
-    """Return the faults of a seed, which are the same each time.
+    """Return the faults of a seed; the same seed gives the same faults.
 
     >>> plan_faults(1, 10) == plan_faults(1, 10) != plan_faults(2, 10)
     True
@@ -66,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedEvacuation:
-    """One data centre that is evacuated; `target` counts within the upstreams, one in each."""
+    """An evacuation of one data centre; `target` is an index, modulo the upstreams, one per data centre."""
 
     at_s: float
     target: int
@@ -74,7 +80,7 @@
 
 
 def plan_evacuations(seed: int, seconds: float) -> list[PlannedEvacuation]:
-    """Return the evacuations of a seed, one after the other; its other faults are the same with them.
+    """Return the evacuations of a seed, one after the other; they do not change its other faults.
 
     >>> plan_evacuations(1, 60) == plan_evacuations(1, 60) != plan_evacuations(2, 60)
     True
@@ -93,15 +99,15 @@
     while at_s < seconds:
         share = chooser.random()
         kinds = LINK_KINDS if share < LINK_SHARE else DAEMON_KINDS
-        kind = Kind.REFUSE if share < REFUSE_SHARE else chooser.choice(kinds)
+        kind = FaultKind.REFUSE if share < REFUSE_SHARE else chooser.choice(kinds)
         target = chooser.randrange(1 << 16)
         yield Fault(at_s, kind, target, chooser.uniform(SHORTEST_S, LONGEST_S))
         at_s += chooser.uniform(0, 2 * MEAN_PAUSE_S)
 
 
 @dataclass(slots=True)
-class Saboteur:
-    """Plays planned faults."""
+class FaultInjector:
+    """Injects planned faults."""
 
     daemons: Sequence[Daemon]
     engines: Sequence[SoakEngine]
@@ -109,21 +115,21 @@
     chooser: random.Random
 
     async def async_run(self, faults: Sequence[Fault]) -> None:
-        """Play all faults and return when the last one is over."""
-        started = time.monotonic()
+        """Inject all faults and return when the last one is over."""
+        started_at = time.monotonic()
         async with asyncio.TaskGroup() as tasks:
             for fault in faults:
-                await asyncio.sleep(started + fault.at_s - time.monotonic())
-                tasks.create_task(self._async_play(fault))
-
-    async def _async_play(self, fault: Fault) -> None:
-        players: dict[Kind, Callable[[Fault], Awaitable[None]]] = {
-            Kind.DELAY: self._async_delay,
-            Kind.RESET: self._async_reset,
-            Kind.REFUSE: self._async_refuse,
+                await asyncio.sleep(started_at + fault.at_s - time.monotonic())
+                tasks.create_task(self._async_inject(fault))
+
+    async def _async_inject(self, fault: Fault) -> None:
+        handlers: dict[FaultKind, Callable[[Fault], Awaitable[None]]] = {
+            FaultKind.DELAY: self._async_delay,
+            FaultKind.RESET: self._async_reset,
+            FaultKind.REFUSE: self._async_refuse,
         }
-        if fault.kind in players:
-            await players[fault.kind](fault)
+        if fault.kind in handlers:
+            await handlers[fault.kind](fault)
         elif fault.kind in DAEMON_KINDS:
             await self._async_signal(fault)
         else:
@@ -133,9 +139,9 @@
         daemon = self.daemons[fault.target % len(self.daemons)]
         if daemon.busy:
             return
-        if fault.kind is Kind.STOP:
+        if fault.kind is FaultKind.STOP:
             await daemon.async_stop()
-        elif fault.kind is Kind.KILL:
+        elif fault.kind is FaultKind.KILL:
             await daemon.async_kill(fault.lasts_s)
         else:
             await daemon.async_pause(fault.lasts_s)
@@ -159,7 +165,7 @@
     async def _async_hold(self, fault: Fault) -> None:
         links = self._choose_links(fault)
         for link in links:
-            link.hold(fault.kind is not Kind.HOLD_FROM, fault.kind is not Kind.HOLD_TO)
+            link.hold(fault.kind is not FaultKind.HOLD_FROM, fault.kind is not FaultKind.HOLD_TO)
         await asyncio.sleep(fault.lasts_s)
         for link in links:
             link.release()
--- a/tests/platform_adapter/soak/proxy.py
+++ b/tests/platform_adapter/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback that delays, resets, cuts one way and silences connections."""
+"""A TCP proxy on loopback that can delay, reset and hold connections, also in one direction only."""
 
 import asyncio
 import re
@@ -13,11 +13,12 @@
 READ_BYTES: Final = 65_536
 REQUEST_ID: Final = re.compile(rb"\r\nRequest-Id: ([^\r]+)\r\n", re.IGNORECASE)
 LINGER_NONE: Final = struct.pack("ii", 1, 0)
+"""Socket option with which a close resets the connection."""
 
 
 @dataclass(slots=True, eq=False)
 class Link:
-    """One connection through a proxy; `near` is the end that opened it."""
+    """One connection through a proxy; `near` is the side that opened it, `far` the target's side."""
 
     near: asyncio.StreamWriter
     far: asyncio.StreamWriter
@@ -27,7 +28,7 @@
     to_near: asyncio.Event = field(default_factory=asyncio.Event)
 
     def hold(self, to_far: bool, to_near: bool) -> None:
-        """Carry nothing more in these directions, not even an end."""
+        """Hold all data in these directions, and the end of the connection as well."""
         self.disturbed = True
         if to_far:
             self.to_far.clear()
@@ -35,12 +36,12 @@
             self.to_near.clear()
 
     def release(self) -> None:
-        """Carry everything, what was held back first."""
+        """Pass on all data again, beginning with what was held."""
         self.to_far.set()
         self.to_near.set()
 
     def reset(self) -> None:
-        """Break both ends."""
+        """Reset the connection on both sides."""
         self.disturbed = True
         if self.attempt is not None:
             self.attempt.broken = True
@@ -54,7 +55,7 @@
 
 @dataclass(slots=True)
 class Proxy:
-    """Carries connections to one address, and notes the requests on them."""
+    """Forwards connections to one address, and records the requests on them."""
 
     name: str
     target: str
@@ -62,7 +63,7 @@
     delay_s: float = 0.0
     address: str = ""
     links: dict[int, Link] = field(default_factory=dict)
-    """By the port of the end that opened it; kept until that port opens another."""
+    """Connections by the port of the side that opened them; kept until that port opens another."""
     _open: set[Link] = field(default_factory=set)
     _server: asyncio.Server | None = None
 
@@ -73,7 +74,7 @@
         self.address = f"{host}:{port}"
 
     def close(self) -> None:
-        """Stop listening and break what is open."""
+        """Stop listening and reset all open connections."""
         if self._server is not None:
             self._server.close()
         for link in tuple(self._open):
@@ -118,7 +119,7 @@
         try:
             while data := await reader.read(READ_BYTES):
                 if passes is link.to_far:
-                    self._note(data, link)
+                    self._record_requests(data, link)
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
                 await passes.wait()
@@ -129,7 +130,7 @@
         await passes.wait()
         writer.close()
 
-    def _note(self, data: bytes, link: Link) -> None:
+    def _record_requests(self, data: bytes, link: Link) -> None:
         for found in REQUEST_ID.findall(data):
             link.attempt = Attempt(found.decode(), self.name, time.monotonic())
             self.attempts.append(link.attempt)
--- a/tests/platform_adapter/soak/record.py
+++ b/tests/platform_adapter/soak/record.py
@@ -1,4 +1,4 @@
-"""What callers, upstreams and the proxies saw of one soak; times are seconds of one clock."""
+"""Observations of one soak by callers, upstreams and proxies; times are in s of one monotonic clock."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -19,9 +19,9 @@
     ended_at: float
     deadline_at: float
     status: int = 0
-    """0 without a readable head."""
+    """0 if there was no readable head."""
     whole: bool = False
-    """Whether the framing says that the answer ended."""
+    """Whether the answer was complete according to its framing."""
     body: bytes = b""
     expected: bytes = b""
     cut: bool = False
@@ -30,18 +30,18 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One request that a daemon wrote to an upstream's connection."""
+    """One request that a daemon sent on a connection to an upstream."""
 
     request: str
     upstream: str
     at: float
     broken: bool = False
-    """Whether the proxy reset the connection meanwhile."""
+    """Whether the proxy reset the connection after the request was sent."""
 
 
 @dataclass(slots=True)
 class Run:
-    """One request that an upstream read whole and began."""
+    """One request that an upstream read completely and began."""
 
     request: str
     upstream: str
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Signal:
-    """A SIGTERM, or a SIGKILL that was part of the faults."""
+    """A SIGTERM, or an injected SIGKILL."""
 
     daemon: str
     at: float
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True)
 class Absence:
-    """A time in which a daemon's process was gone or not ready."""
+    """A period in which a daemon's process did not run or was not ready."""
 
     daemon: str
     since: float
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True)
 class Evacuation:
-    """A time in which an upstream's data centre was evacuated, from the store's acknowledgement on."""
+    """A period in which an upstream's data centre was evacuated, starting when the store acknowledged it."""
 
     upstream: str
     since: float
--- a/tests/platform_adapter/soak/test_checker.py
+++ b/tests/platform_adapter/soak/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker finds planted violations, and takes each excuse for what it is."""
+"""The checker finds planted violations, and accepts only excuses that apply to the request."""
 
 from dataclasses import replace
 
@@ -51,7 +51,7 @@
     ],
 )
 def test_a_lost_answer_is_found(record: Record) -> None:
-    """A healthy stream was cut, and excuses of other requests would have hidden it."""
+    """Guards against a cut stream that is excused by a fault of another request."""
     assert find_promises(record) == [Promise.ANSWERED]
 
 
@@ -70,7 +70,7 @@
     ],
 )
 def test_an_excused_request_is_no_violation(record: Record) -> None:
-    """Faults that a daemon can't mend would have been held against it."""
+    """Guards against violations reported for faults that a daemon cannot recover from."""
     assert find_promises(record) == []
 
 
@@ -85,15 +85,15 @@
     ],
 )
 def test_a_wrong_stream_that_looks_complete_is_found(body: bytes) -> None:
-    """Events that are missing, doubled, out of order or another request's would pass."""
+    """Guards against missing, duplicate or misordered events, and events of another request."""
     assert find_promises(Record([replace(GOOD, body=body)])) == [Promise.WHOLE]
 
 
 @pytest.mark.parametrize(
     ("body", "promises"), [(WHOLE[:30], []), (make_text("r", 1) * 2, [Promise.WHOLE])]
 )
-def test_a_stream_that_ends_early_is_right_so_far(body: bytes, promises: list[Promise]) -> None:
-    """A doubled event would pass in a stream that was cut afterwards."""
+def test_the_events_of_a_cut_stream_are_checked(body: bytes, promises: list[Promise]) -> None:
+    """Guards against a duplicate event that is not found as the stream was cut afterwards."""
     assert find_promises(Record([replace(LOST, body=body, cut=True)])) == promises
 
 
@@ -112,7 +112,7 @@
 def test_a_request_that_ran_too_often_is_found(
     route: str, status: int, runs: int, promises: list[Promise]
 ) -> None:
-    """A booking that ran twice, or ran and was refused as not run, would pass."""
+    """Guards against a booking that ran twice, or that ran and was refused as not run."""
     seen = replace(GOOD, route=route, status=status)
     record = Record([seen], runs=[Run("r", "i-1", 10.0 + number) for number in range(runs)])
     assert find_promises(record) == promises
@@ -133,7 +133,7 @@
 def test_an_accepted_item_that_is_not_listed_once_is_found(
     listed: list[Item], breaks: int, promises: list[Promise]
 ) -> None:
-    """An item that was accepted and lost, doubled, shortened or given up would pass."""
+    """Guards against an accepted item that is lost, duplicated, truncated or given up."""
     record = Record(attempts=[BROKEN_FIRST] * breaks, accepted=[ITEM], listed=listed)
     assert find_promises(record) == promises
 
@@ -143,6 +143,6 @@
     [(9.0, []), (14.9, []), (15.1, [Promise.EVACUATED]), (19.9, [Promise.EVACUATED]), (20.1, [])],
 )
 def test_a_run_in_an_evacuated_data_centre_is_found(at: float, promises: list[Promise]) -> None:
-    """A request that reaches an upstream which operators are about to take away would pass."""
+    """Guards against a request at an upstream that operators are about to remove."""
     record = Record(runs=[Run("r", "i-1", at)], evacuations=[Evacuation("i-1", 10.0, 20.0)])
     assert find_promises(record) == promises
