--- a/goldcreststair/log.py
+++ b/goldcreststair/log.py
@@ -51,7 +51,7 @@
 class SampleFilter(logging.Filter):
     """Limits the lines of one kind per second; the next line says how many were omitted.
 
-    A kind is a logger with a message. Without the limit, a failure that affects every request writes a
+    A kind is a logger and a message. Without the limit, a failure that affects every request writes a
     line for each of them, and lines about its cause are lost among them.
     """
 
--- a/goldcreststair/store/http.py
+++ b/goldcreststair/store/http.py
@@ -68,7 +68,7 @@
     return {"key": write.key, "expected_version": write.expected_version, "value": value}
 
 
-def _refuse(answer: Answer) -> Err[PlatformError]:
+def _unexpected_status(answer: Answer) -> Err[PlatformError]:
     return Err(PlatformError(f"platform answered {answer.status}"))
 
 
@@ -92,7 +92,7 @@
         if isinstance(outcome, Err):
             return outcome
         if outcome.ok_value.status != STATUS_OK:
-            return _refuse(outcome.ok_value)
+            return _unexpected_status(outcome.ok_value)
         return Ok(tuple(_decode_row(raw) for raw in orjson.loads(outcome.ok_value.body)))
 
     async def async_scan(
@@ -104,7 +104,7 @@
         if isinstance(outcome, Err):
             return outcome
         if outcome.ok_value.status != STATUS_OK:
-            return _refuse(outcome.ok_value)
+            return _unexpected_status(outcome.ok_value)
         rows = (_decode_row(raw) for raw in orjson.loads(outcome.ok_value.body))
         return Ok(tuple(row for row in rows if row is not None))
 
@@ -120,7 +120,7 @@
         if answer.status == STATUS_CONFLICT:
             return Err(RowConflict("version conflict", _decode_row(orjson.loads(answer.body))))
         if answer.status != STATUS_OK:
-            return _refuse(answer)
+            return _unexpected_status(answer)
         return Ok(tuple(orjson.loads(answer.body)))
 
 
@@ -133,7 +133,7 @@
 
     async def async_put(self, name: str, content: bytes) -> Result[None, PlatformError]:
         """Store an object."""
-        return _check(await self._client.async_send("PUT", _object_path(name), content))
+        return _expect_ok(await self._client.async_send("PUT", _object_path(name), content))
 
     async def async_get(self, name: str) -> Result[bytes, PlatformError | ObjectMissing]:
         """Return an object's content."""
@@ -143,22 +143,24 @@
         if outcome.ok_value.status == STATUS_MISSING:
             return Err(ObjectMissing(f"no object {name}"))
         if outcome.ok_value.status != STATUS_OK:
-            return _refuse(outcome.ok_value)
+            return _unexpected_status(outcome.ok_value)
         return Ok(outcome.ok_value.body)
 
     async def async_delete(self, name: str) -> Result[None, PlatformError]:
         """Remove an object."""
-        return _check(await self._client.async_send("DELETE", _object_path(name)))
+        return _expect_ok(await self._client.async_send("DELETE", _object_path(name)))
 
 
 def _object_path(name: str) -> str:
     return "/objects/" + quote(name, safe="/")
 
 
-def _check(outcome: Result[Answer, PlatformError]) -> Result[None, PlatformError]:
+def _expect_ok(outcome: Result[Answer, PlatformError]) -> Result[None, PlatformError]:
     if isinstance(outcome, Err):
         return outcome
-    return Ok(None) if outcome.ok_value.status == STATUS_OK else _refuse(outcome.ok_value)
+    return (
+        Ok(None) if outcome.ok_value.status == STATUS_OK else _unexpected_status(outcome.ok_value)
+    )
 
 
 class HttpVmList:
@@ -174,7 +176,7 @@
         if isinstance(outcome, Err):
             return outcome
         if outcome.ok_value.status != STATUS_OK:
-            return _refuse(outcome.ok_value)
+            return _unexpected_status(outcome.ok_value)
         vms = orjson.loads(outcome.ok_value.body)
         return Ok(
             tuple(
@@ -198,7 +200,7 @@
         if outcome.ok_value.status == STATUS_MISSING:
             return Err(ObjectMissing(f"no weights of {model}"))
         if outcome.ok_value.status != STATUS_OK:
-            return _refuse(outcome.ok_value)
+            return _unexpected_status(outcome.ok_value)
         return Ok(int(orjson.loads(outcome.ok_value.body)["bytes"]))
 
 
