--- a/goldcreststair/components/listing/controller.py
+++ b/goldcreststair/components/listing/controller.py
@@ -1,55 +1,55 @@
-"""Decides when to read the list, and whom it shows to be leaving."""
+"""Decides when to read the list of VMs, and tracks which VMs are leaving."""
 
 from collections.abc import Iterable
 
 from goldcreststair.clock import Millis
 from goldcreststair.components.listing.const import (
+    ANNOUNCEMENT_LIFETIME_MS,
+    ANNOUNCEMENT_PERIOD_S,
     FLEET_POLLS_PER_S,
-    HINT_LIFETIME_MS,
-    HINT_PERIOD_S,
     MAX_PERIOD_MS,
     MIN_PERIOD_MS,
 )
 from goldcreststair.const import MS_PER_SECOND
 
 
-def choose_period(members: int, chance: float) -> int:
-    """Return the milliseconds to the next read; `chance` is uniform from 0 to 1.
+def choose_poll_delay(members: int, random_share: float) -> int:
+    """Return the milliseconds until the next read; `random_share` is uniform from 0 to 1.
 
-    Each VM waits a random time around members / rate, so that the fleet reads at its rate without
-    anybody being chosen for it, and goes on whoever is lost.
+    Each VM waits a random time around members / rate, so that the fleet keeps the rate without a
+    coordinator, whichever VMs are lost.
 
-    >>> choose_period(10, 0.5), choose_period(820, 0.5)
+    >>> choose_poll_delay(10, 0.5), choose_poll_delay(820, 0.5)
     (5000, 410000)
     """
     mean_ms = members / FLEET_POLLS_PER_S * MS_PER_SECOND
-    return int(min(max(2 * mean_ms * chance, MIN_PERIOD_MS), MAX_PERIOD_MS))
+    return int(min(max(2 * mean_ms * random_share, MIN_PERIOD_MS), MAX_PERIOD_MS))
 
 
-def make_hint(address: str, utc_s: int) -> str:
-    """Return the shared item that says that a VM is leaving now."""
-    return f"{address} {utc_s // HINT_PERIOD_S}"
+def make_announcement(address: str, utc_s: int) -> str:
+    """Return the shared item which announces that a VM is leaving now."""
+    return f"{address} {utc_s // ANNOUNCEMENT_PERIOD_S}"
 
 
 class LeavingTracker:
-    """Joins what this VM read and what others announced."""
+    """Combines the leaving VMs that this VM read with those that others announced."""
 
     def __init__(self) -> None:
-        """Know of nobody."""
-        self._read: frozenset[str] = frozenset()
+        """Create a tracker without leaving VMs."""
+        self._listed: frozenset[str] = frozenset()
         self._announced: dict[str, Millis] = {}
 
-    def take_read(self, leaving: Iterable[str]) -> None:
-        """Take what this VM read; it replaces its last reading."""
-        self._read = frozenset(leaving)
+    def apply_listing(self, leaving: Iterable[str]) -> None:
+        """Replace the leaving VMs of the last read by those of a new one."""
+        self._listed = frozenset(leaving)
 
-    def take_hint(self, hint: str, now: Millis) -> str:
-        """Take another VM's announcement and return its address."""
-        address = hint.partition(" ")[0]
-        self._announced[address] = Millis(now + HINT_LIFETIME_MS)
+    def apply_announcement(self, announcement: str, now: Millis) -> str:
+        """Add an announcement of another VM and return the announced address."""
+        address = announcement.partition(" ")[0]
+        self._announced[address] = Millis(now + ANNOUNCEMENT_LIFETIME_MS)
         return address
 
     def list_leaving(self, now: Millis) -> frozenset[str]:
-        """Return every address believed to leave."""
+        """Return the addresses of all VMs known to be leaving."""
         self._announced = {a: until for a, until in self._announced.items() if until > now}
-        return self._read | self._announced.keys()
+        return self._listed | self._announced.keys()
--- a/goldcreststair/components/listing/models.py
+++ b/goldcreststair/components/listing/models.py
@@ -1,4 +1,4 @@
-"""What is known of the platform's list."""
+"""State from the platform's list of VMs."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeavingAddresses:
-    """IP numbers of VMs, entry and upstream, that the platform lists as leaving."""
+    """IP addresses of entry and upstream VMs that the platform lists as leaving."""
 
     addresses: frozenset[str] = frozenset()
 
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnListing:
-    """What this VM itself last read of its own address."""
+    """State of this VM's own address when it last read the list itself."""
 
     reads: int = 0
-    """How often the list was read; 0 stands for never."""
+    """Number of reads of the list; 0 before the first one."""
     state: ListedState | None = None
     """None if the address was not listed."""
 
--- a/goldcreststair/components/listing/service.py
+++ b/goldcreststair/components/listing/service.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list now and then and shares what it shows of leaving VMs."""
+"""Polls the platform's list of VMs and announces leaving VMs to the other daemons."""
 
 import asyncio
 import logging
@@ -6,11 +6,15 @@
 from result import Err
 
 from goldcreststair.components.listing.const import (
-    HINT_LIFETIME_MS,
+    ANNOUNCEMENT_LIFETIME_MS,
     MIN_PERIOD_MS,
     SET_LEAVING,
 )
-from goldcreststair.components.listing.controller import LeavingTracker, choose_period, make_hint
+from goldcreststair.components.listing.controller import (
+    LeavingTracker,
+    choose_poll_delay,
+    make_announcement,
+)
 from goldcreststair.components.listing.models import (
     LEAVING_ADDRESSES,
     OWN_LISTING,
@@ -27,26 +31,26 @@
 
 
 class ListWatcher:
-    """Writes `LEAVING_ADDRESSES` and `OWN_LISTING`."""
+    """Publishes `LEAVING_ADDRESSES` and `OWN_LISTING` on the blackboard."""
 
     def __init__(self, core: Core) -> None:
-        """Open the sections; nothing is read yet."""
+        """Create the watcher; nothing is read yet."""
         self._core = core
-        self._book = LeavingTracker()
+        self._tracker = LeavingTracker()
         self._sets = core.find(SHARED_SETS)
         self._leaving = core.blackboard.open_section(LEAVING_ADDRESSES, LeavingAddresses())
         self._own = core.blackboard.open_section(OWN_LISTING, OwnListing())
-        self._hurry = asyncio.Event()
+        self._read_requested = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
     async def async_start(self) -> None:
-        """Read once and go on."""
+        """Start to poll the list, with a first read at once."""
         if self._sets is not None:
-            self._sets.watch(SET_LEAVING, self._on_hint)
+            self._sets.watch(SET_LEAVING, self._on_announcement)
         self._task = asyncio.create_task(self._async_run())
 
     async def async_close(self) -> None:
-        """Stop reading."""
+        """Stop polling."""
         if self._task is not None:
             self._task.cancel()
 
@@ -55,7 +59,7 @@
             try:
                 await self._async_read()
             except Exception:
-                # A list that cannot be understood must not end the reading for good.
+                # A list that cannot be parsed must not end the polling.
                 _LOGGER.exception("Reading the list of VMs failed")
             self._publish()
             await self._async_wait()
@@ -63,13 +67,13 @@
     async def _async_wait(self) -> None:
         members = self._core.blackboard.find(MEMBERS)
         count = len(members.by_session) if members is not None else 1
-        period_ms = choose_period(count, self._core.random.random())
+        period_ms = choose_poll_delay(count, self._core.random.random())
         try:
             async with asyncio.timeout(period_ms / MS_PER_SECOND):
-                await self._hurry.wait()
+                await self._read_requested.wait()
         except TimeoutError:
             return
-        self._hurry.clear()
+        self._read_requested.clear()
         await self._core.clock.async_sleep(MIN_PERIOD_MS)
 
     async def _async_read(self) -> None:
@@ -77,26 +81,29 @@
         if isinstance(listed, Err):
             return
         leaving = [vm.address for vm in listed.ok_value if vm.state is ListedState.LEAVING]
-        self._book.take_read(leaving)
-        self._note_own(listed.ok_value)
+        self._tracker.apply_listing(leaving)
+        self._update_own(listed.ok_value)
         utc_s = self._core.clock.read_utc_s()
         for address in leaving:
             if self._sets is not None:
-                self._sets.add(SET_LEAVING, make_hint(address, utc_s), HINT_LIFETIME_MS)
+                self._sets.add(
+                    SET_LEAVING, make_announcement(address, utc_s), ANNOUNCEMENT_LIFETIME_MS
+                )
 
-    def _note_own(self, listed: tuple[ListedVm, ...]) -> None:
+    def _update_own(self, listed: tuple[ListedVm, ...]) -> None:
         own = self._core.settings.address
         state = next((vm.state for vm in listed if vm.address == own), None)
         reads = self._core.blackboard.read(OWN_LISTING).reads
         self._own.write(OwnListing(reads + 1, state))
 
-    def _on_hint(self, hint: str) -> None:
-        address = self._book.take_hint(hint, self._core.clock.now())
+    def _on_announcement(self, announcement: str) -> None:
+        address = self._tracker.apply_announcement(announcement, self._core.clock.now())
         self._publish()
-        # Others' word may be of a VM that had this address before: this VM reads for itself.
+        # The announcement may refer to a VM that had this address before, so this VM reads the
+        # list.
         if address == self._core.settings.address:
-            self._hurry.set()
+            self._read_requested.set()
 
     def _publish(self) -> None:
-        leaving = self._book.list_leaving(self._core.clock.now())
+        leaving = self._tracker.list_leaving(self._core.clock.now())
         self._leaving.write(LeavingAddresses(leaving))
--- a/tests/components/listing/test_service.py
+++ b/tests/components/listing/test_service.py
@@ -1,4 +1,4 @@
-"""Few read the platform's list, all know who is leaving."""
+"""Few VMs read the platform's list, and all know which VMs are leaving."""
 
 import asyncio
 
@@ -6,8 +6,8 @@
 
 from goldcreststair.components import shutdown
 from goldcreststair.components.listing.const import (
+    ANNOUNCEMENT_LIFETIME_MS,
     FLEET_POLLS_PER_S,
-    HINT_LIFETIME_MS,
     SET_LEAVING,
 )
 from goldcreststair.components.listing.models import LEAVING_ADDRESSES
@@ -22,10 +22,10 @@
 
 @pytest.mark.parametrize("count", [1, 10, 40])
 def test_leaving_upstream_is_known_to_all_in_seconds(count: int) -> None:
-    """An upstream's VM is listed as leaving; it goes away soon after.
+    """An upstream's VM is listed as leaving and stops soon after.
 
-    Every VM must hear of it within 3 s, and yet the list, which names thousands of VMs, must not
-    be read by each of them all the time.
+    Every VM has to know of it within 3 s, although the list, which contains thousands of VMs, must
+    not be read by every VM all the time.
     """
 
     async def async_test(fleet: FakeDaemons) -> None:
@@ -50,10 +50,10 @@
     run_fleet(async_test)
 
 
-def test_vm_does_not_leave_on_the_word_of_others() -> None:
-    """A VM leaves; a new one starts at its address; others still announce that address.
+def test_vm_does_not_leave_because_of_an_announcement() -> None:
+    """A new VM starts at the address of one that left, which others still announce as leaving.
 
-    Taking their word, the new VM would leave as well, and so would the next.
+    If the new VM trusted the announcement, it would leave as well, and so would the next.
     """
 
     async def async_test(fleet: FakeDaemons) -> None:
@@ -63,7 +63,7 @@
         fleet.platform.set_vms([ListedVm(address, "dc1", ListedState.LIVE)])
         await asyncio.sleep(20)
         sets = daemons[1].core.get(SHARED_SETS)
-        sets.add(SET_LEAVING, f"{address} 1", HINT_LIFETIME_MS)
+        sets.add(SET_LEAVING, f"{address} 1", ANNOUNCEMENT_LIFETIME_MS)
         await asyncio.sleep(80)
         assert not daemons[0].core.blackboard.read(SHUTDOWN).leaving
 
