--- a/goldcreststair/components/service_level/__init__.py
+++ b/goldcreststair/components/service_level/__init__.py
@@ -1,4 +1,4 @@
-"""How customers fared against their objectives, and how fast error budgets burn."""
+"""Measures service levels of customers against their objectives, and error budget burn rates."""
 
 from goldcreststair.components.service_level.protocols import SERVICE_LEVELS
 from goldcreststair.components.service_level.service import ServiceLevels
@@ -6,7 +6,7 @@
 
 
 async def async_setup(core: Core) -> Component:
-    """Set up recording here and keeping of the customers whose partition this VM owns."""
+    """Set up recording on this VM, and the histories of customers whose partition it owns."""
     levels = ServiceLevels(core)
     core.offer(SERVICE_LEVELS, levels)
     return levels
--- a/goldcreststair/components/service_level/burn.py
+++ b/goldcreststair/components/service_level/burn.py
@@ -13,9 +13,9 @@
 BURN_WINDOWS_S: Final = (5 * MINUTE_S, HOUR_S, 6 * HOUR_S, 3 * DAY_S)
 
 PAGE_RATE: Final = 14.4
-"""Spends 2% of a 30-day budget in one hour."""
+"""Burn rate that spends 2% of a 30-day budget in one hour."""
 TICKET_RATE: Final = 1.0
-"""Spends 10% of a 30-day budget in three days."""
+"""Burn rate that spends 10% of a 30-day budget in three days."""
 
 
 def compute_rate(counts: Counts, target: float) -> float:
@@ -30,7 +30,7 @@
 
 
 def choose_alarm(windows: tuple[WindowBurn, ...]) -> Alarm:
-    """Return how urgent it is; the short window of each pair ends an alarm soon after the cause."""
+    """Return the alarm level; the short window of each pair ends an alarm soon after its cause."""
     rates = {window.window_s: window.rate for window in windows}
     if rates[HOUR_S] >= PAGE_RATE and rates[5 * MINUTE_S] >= PAGE_RATE:
         return Alarm.PAGE
@@ -40,20 +40,20 @@
 
 
 def compute_burn(customer: str, objective: Objective, history: CustomerHistory, utc_s: int) -> Burn:
-    """Return a customer's standing against one of its objectives."""
+    """Return a customer's error budget and burn rates for one of its objectives."""
     windows = tuple(
         WindowBurn(window_s, compute_rate(counts, objective.target), counts.total)
         for window_s in BURN_WINDOWS_S
         for counts in (history.sum_since(objective.name, utc_s, window_s),)
     )
-    whole = history.sum_since(objective.name, utc_s, objective.window_s)
+    budget_counts = history.sum_since(objective.name, utc_s, objective.window_s)
     histogram = history.histogram
     return Burn(
         customer=customer,
         objective=objective.name,
         threshold_ms=objective.threshold_ms,
         target=objective.target,
-        budget_left=1 - compute_rate(whole, objective.target),
+        budget_left=1 - compute_rate(budget_counts, objective.target),
         windows=windows,
         alarm=choose_alarm(windows),
         p50_ms=int(histogram.get_value_at_percentile(50)),
--- a/goldcreststair/components/service_level/const.py
+++ b/goldcreststair/components/service_level/const.py
@@ -4,7 +4,8 @@
 
 REPORT_INTERVAL_MS: Final = 20_000
 REPORT_INTERVAL_PER_MEMBER_MS: Final = 100
-"""Makes the interval grow with the fleet, so that the owners' commits do not."""
+"""Lengthens the interval with the size of the fleet, so that the owners' commit rate stays
+constant."""
 REPORT_TIMEOUT_MS: Final = 3000
 COMMIT_TIMEOUT_MS: Final = 2500
 QUERY_TIMEOUT_MS: Final = 2000
--- a/goldcreststair/components/service_level/errors.py
+++ b/goldcreststair/components/service_level/errors.py
@@ -8,8 +8,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelUnavailable(GoldcreststairError):
-    """Some customers' owners did not answer."""
+    """The owners of some customers' partitions did not answer."""
 
     customers: tuple[str, ...] = ()
     partial: tuple[Burn, ...] = ()
-    """The standings that did come."""
+    """The results for the other customers."""
--- a/goldcreststair/components/service_level/history.py
+++ b/goldcreststair/components/service_level/history.py
@@ -1,4 +1,4 @@
-"""One customer's counts by minute and hour, at the owner of its partition."""
+"""One customer's counts by minute and hour, kept by the owner of its partition."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -17,27 +17,27 @@
 from goldcreststair.components.service_level.recorder import Report, create_histogram
 
 Buckets = dict[int, dict[str, Counts]]
-"""Number of the minute or hour since 1970, to objective, to counts."""
+"""Counts by minute or hour since 1970, then by objective."""
 
 
 @dataclass(slots=True)
 class CustomerHistory:
-    """Counts of one customer over the last hours and days."""
+    """Counts of one customer over the last hour by minute and the last 30 days by hour."""
 
     minutes: Buckets = field(default_factory=dict)
     hours: Buckets = field(default_factory=dict)
     seen: dict[str, int] = field(default_factory=dict)
-    """Session id to the last report counted from it."""
+    """Sequence number of the last counted report, by session id."""
     day: int = 0
     histogram: HdrHistogram = field(default_factory=create_histogram)
-    """Times to first token of the day `day`."""
+    """Times to first token in ms on the day `day`, counted since 1970."""
 
     def add(self, session_id: str, report: Report, utc_s: int) -> bool:
         """Count a report; returns False if it was counted before.
 
-        A report whose answer was lost comes again; counted twice it would show as a burn that
-        never was. The sender numbers its reports and has one under way a customer, so the last
-        number is enough.
+        A report whose answer was lost is sent again, and would distort the burn rate if it were
+        counted twice. The sender numbers its reports and has one in flight per customer, so that
+        comparing with the last number is enough.
         """
         if self.seen.get(session_id, 0) >= report.sequence:
             return False
@@ -51,7 +51,7 @@
         return True
 
     def sum_since(self, objective: str, utc_s: int, window_s: int) -> Counts:
-        """Return the counts of the last `window_s` seconds, from the finest buckets that reach."""
+        """Return the counts of the last `window_s` seconds, from the finest sufficient buckets."""
         if window_s <= KEPT_MINUTES * SECONDS_PER_MINUTE:
             buckets, width_s = self.minutes, SECONDS_PER_MINUTE
         else:
@@ -61,7 +61,7 @@
         return sum(found, Counts())
 
     def forget_sessions(self, alive: frozenset[str]) -> None:
-        """Drop the numbers of sessions that no longer exist; their ids are never used again."""
+        """Drop the sequence numbers of ended sessions; session ids are never reused."""
         self.seen = {name: number for name, number in self.seen.items() if name in alive}
 
     def encode(self) -> bytes:
@@ -70,7 +70,7 @@
         return orjson.dumps({"recent": recent, "hours": _encode(self.hours)})
 
     def encode_recent(self) -> bytes:
-        """Return what every report changes, as JSON."""
+        """Return the part that every report changes, as JSON."""
         return orjson.dumps(
             {
                 "minutes": _encode(self.minutes),
@@ -95,16 +95,16 @@
     """Return a history from JSON."""
     raw = orjson.loads(encoded)
     hours = {int(hour): _decode_bucket(bucket) for hour, bucket in raw["hours"].items()}
-    return _join(raw["recent"], hours)
+    return _build_history(raw["recent"], hours)
 
 
 def decode_records(recent: bytes, hours: Mapping[int, bytes]) -> CustomerHistory:
-    """Return a history from its records."""
+    """Return a history from its ledger records, the hours by number since 1970."""
     decoded = {hour: _decode_bucket(orjson.loads(bucket)) for hour, bucket in hours.items()}
-    return _join(orjson.loads(recent), decoded)
+    return _build_history(orjson.loads(recent), decoded)
 
 
-def _join(recent: dict[str, Any], hours: Buckets) -> CustomerHistory:
+def _build_history(recent: dict[str, Any], hours: Buckets) -> CustomerHistory:
     minutes = {int(at): _decode_bucket(bucket) for at, bucket in recent["minutes"].items()}
     history = CustomerHistory(minutes, hours, recent["seen"], recent["day"])
     history.histogram.decode_and_add(recent["histogram"].encode())
--- a/goldcreststair/components/service_level/models.py
+++ b/goldcreststair/components/service_level/models.py
@@ -1,4 +1,4 @@
-"""Counts of requests against objectives."""
+"""Request counts, burn rates and alarms."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Counts:
-    """Requests that met an objective, and all requests."""
+    """Number of requests that met an objective, and of all requests."""
 
     good: int = 0
     total: int = 0
@@ -17,7 +17,7 @@
 
 
 class Alarm(StrEnum):
-    """How urgent a burn is."""
+    """Urgency of a burn rate."""
 
     NONE = "none"
     TICKET = "ticket"
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Burn:
-    """One customer's standing against one objective."""
+    """Error budget and burn rates of one customer for one objective."""
 
     customer: str
     objective: str
--- a/goldcreststair/components/service_level/protocols.py
+++ b/goldcreststair/components/service_level/protocols.py
@@ -1,4 +1,4 @@
-"""What other components ask of service levels."""
+"""Interface of service levels for other components."""
 
 from typing import Final, Protocol
 
@@ -6,10 +6,10 @@
 
 
 class RequestObserver(Protocol):
-    """Takes what became of each online request."""
+    """Receives the outcome of each online request."""
 
     def observe(self, customer: str, first_token_ms: int | None) -> None:
-        """Count one request; None if it failed for a reason that is not the customer's."""
+        """Count one request; None means it failed through no fault of the customer."""
 
 
 SERVICE_LEVELS: Final = ComponentKey[RequestObserver]("service_levels")
--- a/goldcreststair/components/service_level/recorder.py
+++ b/goldcreststair/components/service_level/recorder.py
@@ -1,4 +1,4 @@
-"""This VM's own counts, until the customer's owner has them."""
+"""Keeps this VM's counts until the customer's owner has counted them."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -20,14 +20,14 @@
 
 
 @dataclass(slots=True)
-class _Tally:
+class _OpenCounts:
     counts: dict[str, Counts] = field(default_factory=dict)
     histogram: HdrHistogram = field(default_factory=create_histogram)
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """Counts of one customer, sent again unchanged until they are counted."""
+    """Counts of one customer, resent unchanged until its owner has counted them."""
 
     customer: str
     sequence: int
@@ -36,47 +36,49 @@
 
 
 class LevelRecorder:
-    """Tallies requests and cuts the tallies into numbered reports."""
+    """Counts requests and turns the counts into numbered reports."""
 
     def __init__(self) -> None:
-        """Start with nothing tallied."""
-        self._tallies: dict[str, _Tally] = {}
-        self._pending: dict[str, Report] = {}
+        """Create a recorder without counts."""
+        self._open_counts: dict[str, _OpenCounts] = {}
+        self._unconfirmed: dict[str, Report] = {}
         self._sequence = 0
 
     def observe(
         self, customer: str, first_token_ms: int | None, objectives: Iterable[Objective]
     ) -> None:
         """Count one request against each objective of its customer."""
-        tally = self._tallies.setdefault(customer, _Tally())
+        open_counts = self._open_counts.setdefault(customer, _OpenCounts())
         if first_token_ms is not None:
-            tally.histogram.record_value(
+            open_counts.histogram.record_value(
                 min(max(first_token_ms, HISTOGRAM_LOWEST_MS), HISTOGRAM_HIGHEST_MS)
             )
         for objective in objectives:
             if objective.customer not in ("*", customer):
                 continue
             good = first_token_ms is not None and first_token_ms <= objective.threshold_ms
-            before = tally.counts.get(objective.name, Counts())
-            tally.counts[objective.name] = before + Counts(int(good), 1)
+            before = open_counts.counts.get(objective.name, Counts())
+            open_counts.counts[objective.name] = before + Counts(int(good), 1)
 
     def collect_reports(self) -> list[Report]:
-        """Return the reports to send: those not yet counted, and new ones.
+        """Return the reports to send: those not yet confirmed, and new ones.
 
-        A customer has one report under way at a time: sending the next before the last is known
-        to be counted could count the same requests twice.
+        A customer has one report in flight at a time: if the next one were sent before the last is
+        known to be counted, the same requests could be counted twice.
         """
-        for customer in list(self._tallies):
-            if customer not in self._pending:
-                self._pending[customer] = self._cut(customer, self._tallies.pop(customer))
-        return list(self._pending.values())
+        for customer in list(self._open_counts):
+            if customer not in self._unconfirmed:
+                self._unconfirmed[customer] = self._make_report(
+                    customer, self._open_counts.pop(customer)
+                )
+        return list(self._unconfirmed.values())
 
     def confirm(self, report: Report) -> None:
-        """Forget a report that its owner has counted."""
-        if self._pending.get(report.customer) == report:
-            del self._pending[report.customer]
+        """Drop a report that its owner has counted."""
+        if self._unconfirmed.get(report.customer) == report:
+            del self._unconfirmed[report.customer]
 
-    def _cut(self, customer: str, tally: _Tally) -> Report:
+    def _make_report(self, customer: str, open_counts: _OpenCounts) -> Report:
         self._sequence += 1
-        counts = tuple(sorted(tally.counts.items()))
-        return Report(customer, self._sequence, counts, tally.histogram.encode())
+        counts = tuple(sorted(open_counts.counts.items()))
+        return Report(customer, self._sequence, counts, open_counts.histogram.encode())
--- a/goldcreststair/components/service_level/records.py
+++ b/goldcreststair/components/service_level/records.py
@@ -1,4 +1,4 @@
-"""A customer's history in the ledger: one recent record, and one an hour."""
+"""A customer's history in the ledger: one recent record, and one record per hour."""
 
 from goldcreststair.components.ledger.protocols import Change, Partition
 from goldcreststair.components.service_level.const import KEY_HOURS, KEY_PREFIX, KEY_RECENT
@@ -6,7 +6,7 @@
 
 
 def make_key(customer: str) -> str:
-    """Return the key that chooses a customer's partition and begins all its records."""
+    """Return the key that selects a customer's partition and is the prefix of all its records."""
     return f"{KEY_PREFIX}{customer}/"
 
 
@@ -19,7 +19,10 @@
 
 
 def make_changes(partition: Partition, customer: str, history: CustomerHistory) -> list[Change]:
-    """Return what a report changed: a month of hours in each commit would outgrow the head row."""
+    """Return only the records changed by a report.
+
+    A commit with all hours of a month would not fit into the head row.
+    """
     prefix = make_key(customer)
     changes = [Change(prefix + KEY_RECENT, history.encode_recent())]
     stored = _read_hours(partition, customer)
--- a/goldcreststair/components/service_level/service.py
+++ b/goldcreststair/components/service_level/service.py
@@ -1,4 +1,4 @@
-"""Reports this VM's counts to the customers' owners, and keeps those it owns in the ledger."""
+"""Reports this VM's counts to the customers' owners, and keeps owned histories in the ledger."""
 
 import asyncio
 import logging
@@ -34,44 +34,44 @@
 
 
 class ServiceLevels:
-    """Implements `RequestObserver` and answers what became of objectives."""
+    """Implements `RequestObserver`, and computes burn rates for operators."""
 
     def __init__(self, core: Core) -> None:
-        """Register the messages; nothing is sent yet."""
+        """Create the service and register its messages; nothing is sent yet."""
         self._core = core
         self._ledger = core.get(LEDGER)
         self._peers = core.get(PEERS)
         self._recorder = LevelRecorder()
-        self._reporting: asyncio.Task[None] | None = None
+        self._report_task: asyncio.Task[None] | None = None
         self._peers.register(const.NUMBER_LEVEL_REPORT, LevelReport, self._async_on_report)
         self._peers.register(const.NUMBER_LEVEL_REPORT_ANSWER, LevelReportAnswer, None)
         self._peers.register(const.NUMBER_LEVEL_QUERY, LevelQuery, self._async_on_query)
         self._peers.register(const.NUMBER_LEVEL_QUERY_ANSWER, LevelQueryAnswer, None)
 
     async def async_start(self) -> None:
-        """Begin to report."""
-        self._reporting = asyncio.create_task(self._async_report_forever())
+        """Start to report periodically."""
+        self._report_task = asyncio.create_task(self._async_report_forever())
 
     async def async_close(self) -> None:
-        """Report what is left and stop."""
-        if self._reporting is None:
+        """Stop, and report the remaining counts."""
+        if self._report_task is None:
             return
-        self._reporting.cancel()
-        self._reporting = None
+        self._report_task.cancel()
+        self._report_task = None
         await self.async_report()
 
     def observe(self, customer: str, first_token_ms: int | None) -> None:
-        """Count one request; None if it failed for a reason that is not the customer's."""
+        """Count one request; None means it failed through no fault of the customer."""
         self._recorder.observe(customer, first_token_ms, self._objectives)
 
     async def async_report(self) -> None:
-        """Send every report that its owner has not counted yet."""
+        """Send every report that its owner has not confirmed yet."""
         for report in self._recorder.collect_reports():
             if await self._async_send(report):
                 self._recorder.confirm(report)
 
     async def async_compute_burns(self) -> Result[list[Burn], LevelUnavailable]:
-        """Return every customer's standing; the error names customers without an answer."""
+        """Return the burn rates of every customer; the error names customers without an answer."""
         burns: list[Burn] = []
         missing: list[str] = []
         for customer in sorted(self._core.blackboard.read(CONFIGURATION).customers):
@@ -90,18 +90,18 @@
 
     def _compute(self, customer: str, history: CustomerHistory) -> list[Burn]:
         utc_s = self._core.clock.read_utc_s()
-        mine = [o for o in self._objectives if o.customer in ("*", customer)]
-        return [compute_burn(customer, objective, history, utc_s) for objective in mine]
+        own = [o for o in self._objectives if o.customer in ("*", customer)]
+        return [compute_burn(customer, objective, history, utc_s) for objective in own]
 
     async def _async_report_forever(self) -> None:
         while True:
-            # Spread over the interval, or all VMs of a fleet started together report at once.
-            half_ms = self._find_interval() // 2
+            # Jitter keeps the VMs of a fleet that started together from reporting at the same time.
+            half_ms = self._compute_interval() // 2
             jitter_ms = self._core.random.randrange(half_ms)
             await self._core.clock.async_sleep(half_ms + jitter_ms)
             await self.async_report()
 
-    def _find_interval(self) -> int:
+    def _compute_interval(self) -> int:
         members = len(self._core.blackboard.read(MEMBERS).by_session)
         return max(const.REPORT_INTERVAL_MS, members * const.REPORT_INTERVAL_PER_MEMBER_MS)
 
@@ -132,7 +132,9 @@
         changes = make_changes(partition, report.customer, history)
         committed = await partition.async_commit(changes, const.COMMIT_TIMEOUT_MS)
         if isinstance(committed, Err):
-            _LOGGER.info("Report of %s not kept: %s", sender, committed.err_value.message)
+            _LOGGER.info(
+                "Report of %s could not be committed: %s", sender, committed.err_value.message
+            )
         return isinstance(committed, Ok)
 
     async def _async_fetch(self, customer: str) -> CustomerHistory | None:
--- a/tests/components/service_level/test_burn.py
+++ b/tests/components/service_level/test_burn.py
@@ -14,7 +14,7 @@
 
 
 def make_history(good: int, bad: int, hours: int) -> CustomerHistory:
-    """Return a history with so many good and bad requests in each of the last hours."""
+    """Return a history with `good` and `bad` requests in each of the last `hours` hours."""
     history = CustomerHistory()
     for hour in range(hours, -1, -1):
         recorder = LevelRecorder()
@@ -36,7 +36,9 @@
         (96, 4, 80, Alarm.NONE, 0.8),
     ],
 )
-def test_alarms_by_burn(good: int, bad: int, hours: int, alarm: Alarm, hour_rate: float) -> None:
+def test_alarm_depends_on_burn_rate(
+    good: int, bad: int, hours: int, alarm: Alarm, hour_rate: float
+) -> None:
     burn = compute_burn("acme", OBJECTIVE, make_history(good, bad, hours), NOW)
     rates = {window.window_s: window.rate for window in burn.windows}
     assert burn.alarm is alarm
@@ -44,18 +46,18 @@
     assert burn.p99_ms == pytest.approx(100, rel=0.05)
 
 
-def test_history_survives_its_encoding() -> None:
+def test_history_is_equal_after_decoding() -> None:
     history = make_history(10, 2, 5)
-    again = decode_history(history.encode())
-    assert again.encode() == history.encode()
-    assert again.sum_since("fast", NOW, 30 * 24 * HOUR) == Counts(60, 72)
+    decoded = decode_history(history.encode())
+    assert decoded.encode() == history.encode()
+    assert decoded.sum_since("fast", NOW, 30 * 24 * HOUR) == Counts(60, 72)
 
 
-def test_report_whose_answer_was_lost_counts_once() -> None:
-    """A report's answer is lost on the way back.
+def test_resent_report_is_counted_once() -> None:
+    """The answer to a report is lost, and the sender sends the same report again.
 
-    The sender sends the same report again. Counted twice, a short outage would show as twice the
-    failures and page somebody for nothing.
+    If it were counted twice, a short outage would appear as twice the failures and page an operator
+    without need.
     """
     recorder = LevelRecorder()
     recorder.observe("acme", None, [OBJECTIVE])
@@ -63,10 +65,10 @@
     (report,) = recorder.collect_reports()
     assert history.add("s1", report, NOW)
     recorder.observe("acme", 50, [OBJECTIVE])
-    (again,) = recorder.collect_reports()
-    assert again == report
-    assert not history.add("s1", again, NOW)
-    recorder.confirm(again)
+    (resent,) = recorder.collect_reports()
+    assert resent == report
+    assert not history.add("s1", resent, NOW)
+    recorder.confirm(resent)
     (following,) = recorder.collect_reports()
     assert history.add("s1", following, NOW)
     assert history.sum_since("fast", NOW, HOUR) == Counts(1, 2)
--- a/tests/components/service_level/test_records.py
+++ b/tests/components/service_level/test_records.py
@@ -1,4 +1,4 @@
-"""A customer's history in the ledger."""
+"""The records of a customer's history in the ledger."""
 
 from goldcreststair.components.configuration.models import Objective
 from goldcreststair.components.service_level.const import KEPT_HOURS, SECONDS_PER_HOUR
@@ -11,7 +11,7 @@
 
 
 def add_report(partition: FakePartition, session_id: str, utc_s: int) -> int:
-    """Count one request; returns the bytes that its commit holds."""
+    """Count one request; returns the size of its commit in bytes."""
     recorder = LevelRecorder()
     recorder.observe("acme", 100, OBJECTIVES)
     (report,) = recorder.collect_reports()
@@ -28,10 +28,10 @@
 
 
 def test_commit_stays_small_over_months() -> None:
-    """Reports come for forty days.
+    """Reports arrive for forty days.
 
-    Written whole each time, a month of hours is over 20 KB: each report would need an object of
-    its own beside the head row, and the state would never stop growing.
+    The hours of a month take over 20 KB. If all were written each time, each report would need a
+    separate object besides the head row, and the state would grow without limit.
     """
     partition = FakePartition(0)
     hours = KEPT_HOURS + 240
--- a/tests/components/service_level/test_service.py
+++ b/tests/components/service_level/test_service.py
@@ -1,4 +1,4 @@
-"""Counts of two VMs meet at the customer's owner."""
+"""Counts of two VMs are merged by the customer's owner."""
 
 from goldcreststair.components.configuration.models import CONFIGURATION
 from goldcreststair.components.ledger.protocols import LEDGER
@@ -15,7 +15,7 @@
 
 
 class RemoteLedger(FakeLedger):
-    """Owns nothing here: all partitions belong to `session_id`."""
+    """A ledger in which this VM owns no partition: all belong to `session_id`."""
 
     def get_owned(self, index: int) -> None:
         return None
@@ -36,9 +36,9 @@
 
 
 def test_counts_of_two_vms_are_merged_once() -> None:
-    """Two VMs serve one customer; the owner's answer to one report is lost.
+    """Two VMs serve one customer, and the owner's answer to one report is lost.
 
-    The operator must see every request once, whichever VM served it.
+    Every request has to be counted once, whichever VM served it.
     """
 
     async def async_test() -> None:
