--- a/goldcreststair/components/placement/const.py
+++ b/goldcreststair/components/placement/const.py
@@ -26,8 +26,7 @@
 """Keeps VMs with the same view from choosing the same upstream at the same moment."""
 
 DOWN_MS: Final = 3_000
-"""How long an upstream that refused a connection gets no work, unless a connection succeeds
-before."""
+"""How long an upstream that did not accept a connection gets no work, unless one succeeds before."""
 PROBE_MS: Final = 400
 """Interval between connection attempts to an upstream that is down."""
 FULL_MS: Final = 150
--- a/goldcreststair/components/placement/controller.py
+++ b/goldcreststair/components/placement/controller.py
@@ -391,7 +391,7 @@
         return self.digest_sequence is None or self.runs.read_own(hash_name(name)).total > 1
 
     def mark_down(self, name: str) -> None:
-        """Mark an upstream as down: it refused a connection or is silent."""
+        """Mark an upstream as down: it does not accept connections, or is silent."""
         state = self._states.get(name)
         if state is not None:
             state.down_until = Millis(self._clock.now() + DOWN_MS)
--- a/goldcreststair/components/placement/service.py
+++ b/goldcreststair/components/placement/service.py
@@ -99,7 +99,7 @@
         self._links.announce()
 
     def mark_down(self, entry: UpstreamEntry, reason: str, subject: str) -> None:
-        """Mark an upstream as down: it refused a connection or is silent.
+        """Mark an upstream as down: it does not accept connections, or is silent.
 
         `subject` is the request or item that detected it.
         """
--- a/tests/components/placement/test_cold.py
+++ b/tests/components/placement/test_cold.py
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize("vms", [8, 30])
-@pytest.mark.parametrize("how", ["return together", "all vms killed", "taken back"])
+@pytest.mark.parametrize("how", ["return together", "all vms killed", "evacuation ended"])
 def test_cold_upstreams_do_not_exceed_their_rate_under_overload(vms: int, how: str) -> None:
     """Guards against upstreams that crash again as soon as an overloaded fleet finds them empty."""
 
@@ -155,7 +155,7 @@
         cold = [engine for engine in engines if engine.data_centre == "dc1"]
         await fleet.async_add_many(vms)
         await fleet.clock.async_sleep(3_000)
-        if how == "taken back":
+        if how == "evacuation ended":
             fleet.evacuate("dc1")
         else:
             for engine in cold:
@@ -168,7 +168,7 @@
             for member in tuple(fleet.members):
                 await fleet.async_kill(member)
             await fleet.async_add_many(vms)
-        if how == "taken back":
+        if how == "evacuation ended":
             fleet.take_back("dc1")
         await async_overload(fleet, 4)
         assert all(count_peak_arrivals(engine) <= BOUND for engine in cold)
--- a/tests/components/placement/test_spreading.py
+++ b/tests/components/placement/test_spreading.py
@@ -30,8 +30,8 @@
     ]
     gateways = []
     for number in range(count):
-        chance = random.Random(number)
-        gateway = PlacementController(clock, chance, f"dc{number % data_centres}")
+        rng = random.Random(number)
+        gateway = PlacementController(clock, rng, f"dc{number % data_centres}")
         gateway.apply_upstreams(LiveUpstreams({e.name: e for e in entries}, frozenset(), True))
         runs = {hash_name(f"e{n}"): Runs(online=SLOTS - free.get(n, 0)) for n in range(UPSTREAMS)}
         gateway.runs.apply_peer_runs("relay", runs)
@@ -69,9 +69,9 @@
     of the 300 runs would be preempted at once and would have wasted their prefill.
     """
     free, vms, waiting, rounds = 10, 30, 5, 50
-    chance = random.Random(1)
+    rng = random.Random(1)
     started = [
-        sum(allot_starts(free, waiting, (vms - 1) * waiting, chance) for _ in range(vms))
+        sum(allot_starts(free, waiting, (vms - 1) * waiting, rng) for _ in range(vms))
         for _ in range(rounds)
     ]
     assert free * 0.8 <= sum(started) / rounds <= free * 1.2
--- a/tests/components/quotas/test_histories.py
+++ b/tests/components/quotas/test_histories.py
@@ -35,7 +35,7 @@
     pause_ms: int
 
 
-KINDS = ("cut", "isolate", "heal", "kill", "kill", "stop", "freeze", "add", "store", "turn_away")
+KINDS = ("cut", "isolate", "heal", "kill", "kill", "stop", "freeze", "add", "store", "refuse")
 
 
 def draw_steps(vms: int, *more: str) -> st.SearchStrategy[Step]:
@@ -87,7 +87,7 @@
             self._cut_off(first)
         elif step.kind == "split":
             self._split(first.core.settings.data_centre)
-        elif step.kind == "turn_away":
+        elif step.kind == "refuse":
             first.view.cut = not first.view.cut
         elif step.kind == "kill":
             await fleet.async_kill(first)
@@ -204,8 +204,8 @@
     VMs they know; the new VM considers them lost, as their heartbeats do not advance.
     """
     steps = [
-        Step("turn_away", 0, 2, 314),
-        Step("turn_away", 1, 0, 653),
+        Step("refuse", 0, 2, 314),
+        Step("refuse", 1, 0, 653),
         Step("cut", 0, 2, 3_774),
         Step("freeze", 2, 3, 282),
         Step("add", 1, 0, 1_248),
@@ -244,7 +244,7 @@
         Step("heal", 3, 3, 2_697),
         Step("kill", 1, 3, 585),
         Step("add", 2, 1, 51),
-        Step("turn_away", 2, 0, 1_507),
+        Step("refuse", 2, 0, 1_507),
         Step("add", 3, 2, 528),
     ]
     assert measure_history(steps, 312) <= BOUND
