--- a/goldcreststair/components/fleet/digests.py
+++ b/goldcreststair/components/fleet/digests.py
@@ -332,8 +332,8 @@
         return max(fresh, key=rank, default=None)
 
 
-def _mark_unresponsive(daemon: HeardDaemon) -> HeardDaemon:
-    return HeardDaemon(daemon.daemon, daemon.state, daemon.store_away, daemon.lost_ms, True)
+def _mark_unresponsive(entry: HeardDaemon) -> HeardDaemon:
+    return HeardDaemon(entry.daemon, entry.state, entry.store_away, entry.lost_ms, True)
 
 
 def _list_batch(daemon: int, runs: Iterable[UpstreamRuns]) -> list[BatchRuns]:
