--- a/goldcreststair/components/peers/link.py
+++ b/goldcreststair/components/peers/link.py
@@ -1,4 +1,4 @@
-"""One open link to one session: frames, heartbeats, and answers matched to requests."""
+"""One open link to one session: frames, heartbeats, and matching of responses to requests."""
 
 import asyncio
 import logging
@@ -9,9 +9,9 @@
 from goldcreststair.clock import Clock
 from goldcreststair.components.peers.const import (
     HEARTBEAT_MS,
-    IDLE_MS,
-    MAX_SERVED,
-    SILENT_MS,
+    IDLE_TIMEOUT_MS,
+    MAX_CONCURRENT_REQUESTS,
+    SILENCE_TIMEOUT_MS,
 )
 from goldcreststair.components.peers.protocols import PeerError
 from goldcreststair.transport import MAX_FRAME_BYTES, PeerChannel
@@ -20,30 +20,30 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-_HEARTBEAT = encode_struct(Envelope(kind=FrameKind.HEARTBEAT))
+_HEARTBEAT_FRAME = encode_struct(Envelope(kind=FrameKind.HEARTBEAT))
 
 
-class LinkOwner(Protocol):
-    """Serves what comes in on a link."""
+class LinkHandler(Protocol):
+    """Handles what a link receives."""
 
     async def async_serve(self, session_id: str, envelope: Any) -> tuple[int, bytes] | None:
-        """Return the answer's number and payload, or None if the message is refused."""
+        """Return the message number and payload of the response, or None to refuse the message."""
 
     def forget(self, link: "Link") -> None:
-        """Drop a link that has closed."""
+        """Remove a link that has closed."""
 
 
 class Link:
-    """A link after both Hellos."""
+    """A link on which both sides have sent their Hello."""
 
     def __init__(
-        self, channel: PeerChannel, session_id: str, owner: LinkOwner, clock: Clock
+        self, channel: PeerChannel, session_id: str, handler: LinkHandler, clock: Clock
     ) -> None:
-        """Take an open channel to `session_id`."""
+        """Wrap an open channel to `session_id`."""
         self.session_id = session_id
         self.closed = False
         self._channel = channel
-        self._owner = owner
+        self._handler = handler
         self._clock = clock
         self._received_at = self._used_at = self._sent_at = clock.now()
         self._pending: dict[int, asyncio.Future[Result[Any, PeerError]]] = {}
@@ -51,24 +51,24 @@
 
     @property
     def usable(self) -> bool:
-        """Return whether the link is open and the other side was heard lately."""
-        return not self.closed and self._clock.now() - self._received_at <= SILENT_MS
+        """Return whether the link is open and has received a frame recently."""
+        return not self.closed and self._clock.now() - self._received_at <= SILENCE_TIMEOUT_MS
 
     def start(self) -> None:
-        """Receive and send heartbeats from now on."""
+        """Start to receive frames and to send heartbeats."""
         self._spawn(self._async_receive())
-        self._spawn(self._async_beat())
+        self._spawn(self._async_maintain())
 
     def close(self, reason: str) -> None:
-        """Close at once; requests without answer end with an error."""
+        """Close at once; pending requests end with an error."""
         if self.closed:
             return
         self.closed = True
         self._channel.close()
-        self._owner.forget(self)
-        for waiting in self._pending.values():
-            if not waiting.done():
-                waiting.set_result(Err(PeerError(f"link to {self.session_id} lost: {reason}")))
+        self._handler.forget(self)
+        for pending in self._pending.values():
+            if not pending.done():
+                pending.set_result(Err(PeerError(f"link to {self.session_id} lost: {reason}")))
         self._pending.clear()
         current = asyncio.current_task()
         for task in tuple(self._tasks):
@@ -76,7 +76,7 @@
                 task.cancel()
 
     def send(self, envelope: Any) -> bool:
-        """Queue a frame; False if it certainly was not sent."""
+        """Queue a frame; returns False if it is certain that it was not sent."""
         frame = encode_struct(envelope)
         if self.closed or len(frame) > MAX_FRAME_BYTES or not self._channel.send(frame):
             return False
@@ -86,15 +86,15 @@
     async def async_request(
         self, correlation_id: int, number: int, payload: bytes, timeout_ms: int
     ) -> Result[Any, PeerError]:
-        """Send a request and return the envelope of its answer."""
-        waiting: asyncio.Future[Result[Any, PeerError]] = asyncio.Future()
-        self._pending[correlation_id] = waiting
+        """Send a request and return the envelope of its response."""
+        pending: asyncio.Future[Result[Any, PeerError]] = asyncio.Future()
+        self._pending[correlation_id] = pending
         try:
             envelope = Envelope(FrameKind.REQUEST, number, correlation_id, payload)
             if not self.send(envelope):
                 return Err(PeerError("link closed or full", not_sent=True))
             async with asyncio.timeout(timeout_ms / 1000):
-                return await waiting
+                return await pending
         except TimeoutError:
             return Err(PeerError(f"no answer from {self.session_id} in {timeout_ms} ms"))
         finally:
@@ -112,63 +112,65 @@
                 self.close(decoded.err_value.message)
                 return
             self._received_at = self._clock.now()
-            self._handle(decoded.ok_value)
+            self._handle_envelope(decoded.ok_value)
         self.close("closed by the other side")
 
-    def _handle(self, envelope: Any) -> None:
+    def _handle_envelope(self, envelope: Any) -> None:
         if envelope.kind in (FrameKind.REQUEST, FrameKind.POST):
             self._used_at = self._clock.now()
-            self._accept(envelope)
+            self._accept_request(envelope)
         elif envelope.kind in (FrameKind.ANSWER, FrameKind.REFUSED):
-            self._match(envelope)
+            self._resolve_response(envelope)
 
-    def _accept(self, envelope: Any) -> None:
-        # A peer that asks faster than it is served must not fill the memory.
-        if len(self._tasks) > MAX_SERVED:
+    def _accept_request(self, envelope: Any) -> None:
+        # A peer that sends requests faster than they are served must not exhaust the memory.
+        if len(self._tasks) > MAX_CONCURRENT_REQUESTS:
             self._refuse(envelope)
             return
         self._spawn(self._async_serve(envelope))
 
-    def _match(self, envelope: Any) -> None:
-        # An answer that comes late or crossed names a request that no longer waits on this link:
-        # it is dropped, so that nobody takes it for the answer to something else.
-        waiting = self._pending.get(envelope.correlation_id)
-        if waiting is None or waiting.done():
+    def _resolve_response(self, envelope: Any) -> None:
+        # A late or misdirected response has the correlation id of a request that is no longer
+        # pending on this link. It is dropped, so that it is not used for another request.
+        pending = self._pending.get(envelope.correlation_id)
+        if pending is None or pending.done():
             return
         if envelope.kind == FrameKind.REFUSED:
-            waiting.set_result(Err(PeerError("refused before it was handled", not_sent=True)))
+            pending.set_result(
+                Err(PeerError("request rejected before it was handled", not_sent=True))
+            )
         else:
-            waiting.set_result(Ok(envelope))
+            pending.set_result(Ok(envelope))
 
     async def _async_serve(self, envelope: Any) -> None:
         try:
-            answer = await self._owner.async_serve(self.session_id, envelope)
+            response = await self._handler.async_serve(self.session_id, envelope)
         except Exception:
             _LOGGER.exception("Handler of message %s failed", envelope.number)
             return
         if envelope.kind != FrameKind.REQUEST:
             return
-        if answer is None:
+        if response is None:
             self._refuse(envelope)
             return
-        number, payload = answer
+        number, payload = response
         self.send(Envelope(FrameKind.ANSWER, number, envelope.correlation_id, payload))
 
     def _refuse(self, envelope: Any) -> None:
         if envelope.kind == FrameKind.REQUEST:
             self.send(Envelope(FrameKind.REFUSED, envelope.number, envelope.correlation_id))
 
-    async def _async_beat(self) -> None:
+    async def _async_maintain(self) -> None:
         while True:
             await self._clock.async_sleep(HEARTBEAT_MS)
             now = self._clock.now()
-            # TCP keeps a connection open whose path has lost track of it; the other side's
-            # heartbeats stop, so the link is left and the next message opens a new one.
-            if now - self._received_at > SILENT_MS:
+            # TCP does not notice that a path lost track of its connection, but the other side's
+            # heartbeats stop. The link is closed then, and the next message opens a new one.
+            if now - self._received_at > SILENCE_TIMEOUT_MS:
                 self.close("silent")
                 return
-            if now - self._used_at > IDLE_MS and not self._pending:
+            if now - self._used_at > IDLE_TIMEOUT_MS and not self._pending:
                 self.close("idle")
                 return
             if now - self._sent_at >= HEARTBEAT_MS:
-                self._channel.send(_HEARTBEAT)
+                self._channel.send(_HEARTBEAT_FRAME)
--- a/goldcreststair/components/peers/service.py
+++ b/goldcreststair/components/peers/service.py
@@ -1,4 +1,4 @@
-"""The links of this daemon: opened when there is something to say, closed when idle or silent."""
+"""Manages the links of this daemon: opened on the first message, closed when idle or silent."""
 
 import asyncio
 import itertools
@@ -23,17 +23,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Registration:
-    """How messages of one number are read and served."""
+    """How messages of one number are decoded and served."""
 
     struct: type[PeerMessage]
     handler: Handler | None
 
 
 class PeerService:
-    """Implements `PeerLinks` over the core's transport."""
+    """Implements `EndpointLinks` over the core's transport."""
 
     def __init__(self, core: Core) -> None:
-        """Register nothing yet."""
+        """Start without registered messages and without links."""
         self._core = core
         self._by_number: dict[int, Registration] = {}
         self._numbers: dict[type[PeerMessage], int] = {}
@@ -47,14 +47,14 @@
         self._unsubscribe: Callable[[], None] = lambda: None
 
     async def async_listen(self) -> None:
-        """Bind the peer port and note it in the core; components may send after `async_start`."""
+        """Bind the peer port and store it in the core; components may send after `async_start`."""
         settings = self._core.settings
         self._core.peer_port = await self._core.transport.async_listen(
             settings.address, settings.peer_port, self._on_accept
         )
 
     async def async_start(self) -> None:
-        """Follow the own session; the port was bound while this component was set up."""
+        """Follow this daemon's own session; the port was bound while this component was set up."""
         self._own_session_id = self._core.session_id
         self._unsubscribe = self._core.blackboard.subscribe(MEMBERS, self._on_members)
 
@@ -64,21 +64,21 @@
         self._unsubscribe()
         await self._core.transport.async_close()
         for link in tuple(self._all_links):
-            link.close("this daemon stops")
+            link.close("this daemon is stopping")
         for task in (*self._tasks, *self._opening.values()):
             task.cancel()
 
     def register(self, number: int, struct: type[PeerMessage], handler: Handler | None) -> None:
-        """Give a struct its number and handler; raises `ValueError` if either is taken."""
+        """Set a struct's number and handler; raises `ValueError` if either is already registered."""
         if number in self._by_number or struct in self._numbers:
-            raise ValueError(f"message {number} or {struct.__name__} is registered already")
+            raise ValueError(f"message {number} or {struct.__name__} is already registered")
         self._by_number[number] = Registration(struct, handler)
         self._numbers[struct] = number
 
     async def async_request(
         self, session_id: str, message: PeerMessage, timeout_ms: int
     ) -> Result[PeerMessage, PeerError]:
-        """Send a message to a member and return its answer."""
+        """Send a message to a member and return its response."""
         found = self._find_endpoint(session_id)
         if isinstance(found, Err):
             return found
@@ -87,33 +87,33 @@
     async def async_request_at(
         self, endpoint: Endpoint, message: PeerMessage, timeout_ms: int
     ) -> Result[PeerMessage, PeerError]:
-        """Send a message to where a daemon listens, known as a member or not."""
+        """Send a message to an endpoint, whether its daemon is a known member or not."""
         deadline = self._core.clock.now() + timeout_ms
         opened = await self._async_find_link(endpoint, timeout_ms)
         if isinstance(opened, Err):
             return opened
-        answered = await opened.ok_value.async_request(
+        response = await opened.ok_value.async_request(
             next(self._correlation_ids),
             self._numbers[type(message)],
             encode_struct(message),
             max(1, deadline - self._core.clock.now()),
         )
-        if isinstance(answered, Err):
-            return answered
-        return self._decode(answered.ok_value)
+        if isinstance(response, Err):
+            return response
+        return self._decode(response.ok_value)
 
     def post(self, session_id: str, message: PeerMessage) -> None:
-        """Send a message without answer."""
+        """Send a message without response; it may be lost."""
         found = self._find_endpoint(session_id)
         if isinstance(found, Ok) and not self._closed:
             self._spawn(self._async_post(found.ok_value, message))
 
     def count_reachable(self) -> int:
-        """Return to how many sessions there is an open link, alive by its heartbeats."""
+        """Return the number of sessions with an open link that has received a frame recently."""
         return sum(link.usable for link in self._links.values())
 
     async def async_is_gone(self, endpoint: Endpoint) -> bool:
-        """Return whether a session's process has ended, as far as a connection shows."""
+        """Return whether a session's process has ended, as far as a connection attempt shows."""
         opened = await self._async_find_link(endpoint, CONNECT_TIMEOUT_MS)
         return isinstance(opened, Err) and opened.err_value.gone
 
@@ -122,27 +122,27 @@
         registration = self._by_number.get(envelope.number)
         if registration is None or registration.handler is None:
             return None
-        # A daemon whose session has expired may still run and believe it owns things; only
-        # messages that bring it up to date are served until membership has it back.
+        # A daemon whose session has expired may still run and act as owner; until it is a member
+        # again, only messages that bring it up to date are served.
         if envelope.number not in SERVED_TO_NON_MEMBERS and not self._is_member(session_id):
             return None
         decoded = decode_struct(registration.struct, envelope.payload or b"")
         if isinstance(decoded, Err):
-            _LOGGER.warning("Dropped a message: %s", decoded.err_value.message)
+            _LOGGER.warning("Message dropped: %s", decoded.err_value.message)
             return None
-        answer = await registration.handler(session_id, decoded.ok_value)
-        if answer is None:
+        response = await registration.handler(session_id, decoded.ok_value)
+        if response is None:
             return 0, b""
-        return self._numbers[type(answer)], encode_struct(answer)
+        return self._numbers[type(response)], encode_struct(response)
 
     def forget(self, link: Link) -> None:
-        """Drop a link that has closed."""
+        """Remove a link that has closed."""
         self._all_links.discard(link)
         if self._links.get(link.session_id) is link:
             del self._links[link.session_id]
 
     def _on_members(self, members: Members) -> None:
-        # The Hellos of open links name the session that has expired: new links name the new one.
+        # The Hellos of open links contain the expired session id; new links send the new one.
         if members.own_session_id != self._own_session_id:
             self._own_session_id = members.own_session_id
             for link in tuple(self._all_links):
@@ -151,7 +151,11 @@
     def _decode(self, envelope: Any) -> Result[PeerMessage, PeerError]:
         registration = self._by_number.get(envelope.number)
         if registration is None:
-            return Ok(None) if envelope.number == 0 else Err(PeerError("answer of unknown number"))
+            return (
+                Ok(None)
+                if envelope.number == 0
+                else Err(PeerError("response with an unknown message number"))
+            )
         decoded = decode_struct(registration.struct, envelope.payload or b"")
         return decoded.map_err(lambda error: PeerError(error.message))
 
@@ -161,7 +165,7 @@
     def _find_endpoint(self, session_id: str) -> Result[Endpoint, PeerError]:
         member: Member | None = self._core.blackboard.read(MEMBERS).by_session.get(session_id)
         if member is None:
-            return Err(PeerError(f"{session_id} is no member", not_sent=True))
+            return Err(PeerError(f"{session_id} is not a member", not_sent=True))
         return Ok(Endpoint(member.address, member.peer_port, session_id))
 
     async def _async_post(self, endpoint: Endpoint, message: PeerMessage) -> None:
@@ -174,7 +178,7 @@
         self, endpoint: Endpoint, timeout_ms: int
     ) -> Result[Link, PeerError]:
         if self._closed:
-            return Err(PeerError("this daemon stops", not_sent=True))
+            return Err(PeerError("this daemon is stopping", not_sent=True))
         link = self._links.get(endpoint.session_id)
         if link is not None and link.usable:
             return Ok(link)
@@ -187,7 +191,7 @@
             opening.add_done_callback(lambda _: self._opening.pop(endpoint, None))
         done, _ = await asyncio.wait({opening}, timeout=timeout_ms / 1000)
         if not done or opening.cancelled():
-            return Err(PeerError("no link in time", not_sent=True))
+            return Err(PeerError("link not opened in time", not_sent=True))
         return opening.result()
 
     async def _async_open(self, endpoint: Endpoint) -> Result[Link, PeerError]:
@@ -200,11 +204,11 @@
         channel = opened.ok_value
         channel.send(encode_struct(Hello(self._core.session_id, endpoint.session_id)))
         hello = await self._async_read_hello(channel)
-        # The address may have been taken over by a new daemon: what was meant for the old
-        # session must not reach it. Nothing but the Hello has been sent at this point.
+        # A new daemon may run at the address by now, and must not receive messages for the old
+        # session. Nothing but the Hello has been sent at this point.
         if hello is None or (endpoint.session_id and hello.session_id != endpoint.session_id):
             channel.close()
-            text = "another session answers there, or none"
+            text = "no Hello, or one from another session"
             return Err(PeerError(text, not_sent=True, gone=hello is not None))
         return Ok(self._add_link(channel, hello.session_id))
 
@@ -224,7 +228,7 @@
         self._add_link(channel, hello.session_id)
 
     async def _async_read_hello(self, channel: PeerChannel) -> Any:
-        """Return the other side's Hello, or None if none comes in time."""
+        """Return the other side's Hello, or None if none arrives in time."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_MS / 1000):
                 frame = await channel.async_receive()
--- a/tests/components/peers/test_service.py
+++ b/tests/components/peers/test_service.py
@@ -1,4 +1,4 @@
-"""Links between daemons: what is sent, answered, refused and given up."""
+"""Tests of links between daemons: requests that are answered, refused or fail."""
 
 import asyncio
 import socket
@@ -11,7 +11,7 @@
 from goldcreststair.blackboard import SectionWriter
 from goldcreststair.clock import LoopClock
 from goldcreststair.components.membership.models import MEMBERS, Member, Members, MemberState
-from goldcreststair.components.peers.const import IDLE_MS, SILENT_MS
+from goldcreststair.components.peers.const import IDLE_TIMEOUT_MS, SILENCE_TIMEOUT_MS
 from goldcreststair.components.peers.service import PeerService
 from goldcreststair.core import Core
 from goldcreststair.transport import MAX_FRAME_BYTES, TcpTransport
@@ -50,8 +50,8 @@
     return Node(core, peers, members, served)
 
 
-def introduce(*nodes: Node) -> None:
-    """Let nodes know each other."""
+def make_members(*nodes: Node) -> None:
+    """Make nodes members of each other's fleet."""
     known = {
         node.core.session_id: Member(
             node.core.session_id,
@@ -71,11 +71,13 @@
 async def async_make_pair(network: FakeNetwork, delay_ms: int = 0) -> tuple[Node, Node]:
     left = await async_make_node("a", "10.0.0.1", network)
     right = await async_make_node("b", "10.0.0.2", network, delay_ms)
-    introduce(left, right)
+    make_members(left, right)
     return left, right
 
 
-async def async_ask(node: Node, target: str, queue_ms: int = 1, timeout_ms: int = 1000) -> Any:
+async def async_send_request(
+    node: Node, target: str, queue_ms: int = 1, timeout_ms: int = 1000
+) -> Any:
     return await node.peers.async_request(target, YieldHint("e1", queue_ms), timeout_ms)
 
 
@@ -83,11 +85,11 @@
     async def async_test() -> None:
         left = await async_make_node("a", "127.0.0.1", None)
         right = await async_make_node("b", "127.0.0.1", None)
-        introduce(left, right)
-        assert (await async_ask(left, "b", 5, 10_000)).unwrap().queue_ms == 6
-        assert (await async_ask(right, "a", 7, 10_000)).unwrap().queue_ms == 8
+        make_members(left, right)
+        assert (await async_send_request(left, "b", 5, 10_000)).unwrap().queue_ms == 6
+        assert (await async_send_request(right, "a", 7, 10_000)).unwrap().queue_ms == 8
         await left.peers.async_close()
-        failed = await async_ask(right, "a", 1, 10_000)
+        failed = await async_send_request(right, "a", 1, 10_000)
         assert isinstance(failed, Err)
         await right.peers.async_close()
 
@@ -95,7 +97,7 @@
 
 
 def test_oversized_length_closes_the_connection() -> None:
-    """A sender out of step announces four gigabytes; the receiver must not wait for them."""
+    """Guards against waiting for the four gigabytes that a sender out of frame alignment announces."""
 
     async def async_test() -> None:
         node = await async_make_node("a", "127.0.0.1", None)
@@ -109,40 +111,41 @@
     asyncio.run(async_test())
 
 
-def test_silent_link_is_left_for_a_new_one() -> None:
-    """A request gets no answer although the other daemon runs.
+def test_silent_link_is_replaced() -> None:
+    """Guards against requests without response although the other daemon runs.
 
     The path loses track of an open connection: nothing arrives on it any more and TCP does not
-    notice. A new connection works, so heartbeats must tell and the next request must use one.
+    notice. A new connection works, so missing heartbeats must close the link and the next request
+    must open a new one.
     """
 
     async def async_test() -> None:
         network = FakeNetwork(LoopClock())
         left, right = await async_make_pair(network)
-        assert isinstance(await async_ask(left, "b"), Ok)
+        assert isinstance(await async_send_request(left, "b"), Ok)
         network.silence("10.0.0.1", "10.0.0.2")
-        lost = await async_ask(left, "b", timeout_ms=60_000)
+        lost = await async_send_request(left, "b", timeout_ms=60_000)
         assert isinstance(lost, Err)
         assert not lost.err_value.not_sent
-        assert left.core.clock.now() < 1_000_000 + 2 * SILENT_MS
-        assert isinstance(await async_ask(left, "b"), Ok)
+        assert left.core.clock.now() < 1_000_000 + 2 * SILENCE_TIMEOUT_MS
+        assert isinstance(await async_send_request(left, "b"), Ok)
         await asyncio.gather(left.peers.async_close(), right.peers.async_close())
 
     run_virtual(async_test())
 
 
-def test_new_daemon_at_an_old_address_never_sees_messages_for_the_old_one() -> None:
-    """A VM is replaced and its address reused before the others have heard of it.
+def test_messages_for_an_old_session_do_not_reach_the_new_one() -> None:
+    """A VM is replaced and its address reused before the other daemons know of it.
 
-    What was meant for the old session must not run at the new one, and the sender may say that
-    it was not sent.
+    Messages for the old session must not run at the new one, and the sender may report that they
+    were not sent.
     """
 
     async def async_test() -> None:
         network = FakeNetwork(LoopClock())
         left, right = await async_make_pair(network)
         right.core.session_id = "c"
-        refused = await async_ask(left, "b")
+        refused = await async_send_request(left, "b")
         assert isinstance(refused, Err)
         assert refused.err_value.not_sent
         assert right.served == []
@@ -151,14 +154,14 @@
     run_virtual(async_test())
 
 
-def test_session_that_is_no_member_is_refused_without_effect() -> None:
-    """A daemon was paused, expired and wakes: it must not act on others before it is back."""
+def test_request_of_non_member_is_refused_without_effect() -> None:
+    """Guards against a daemon that resumes after its session expired and acts on other daemons."""
 
     async def async_test() -> None:
         network = FakeNetwork(LoopClock())
         left, right = await async_make_pair(network)
         right.members.write(Members("b"))
-        refused = await async_ask(left, "b")
+        refused = await async_send_request(left, "b")
         assert isinstance(refused, Err)
         assert refused.err_value.not_sent
         assert right.served == []
@@ -167,28 +170,30 @@
     run_virtual(async_test())
 
 
-def test_late_and_crossed_answers_are_dropped() -> None:
-    """Two requests run; their answers come late, or with numbers of other requests.
+def test_late_and_misdirected_responses_are_dropped() -> None:
+    """Responses arrive late, or with the correlation ids of other requests.
 
-    A request that has timed out must not leave its answer to the next one.
+    The response to a request that has timed out must not be used for the next one.
     """
 
     async def async_test() -> None:
         network = FakeNetwork(LoopClock())
         left, right = await async_make_pair(network, delay_ms=500)
-        assert isinstance(await async_ask(left, "b", 10, timeout_ms=100), Err)
-        crossed = encode_struct(Envelope(FrameKind.ANSWER, 100, 999, b""))
+        assert isinstance(await async_send_request(left, "b", 10, timeout_ms=100), Err)
+        misdirected = encode_struct(Envelope(FrameKind.ANSWER, 100, 999, b""))
         for link in right.peers._all_links:
-            link._channel.send(crossed)
-        answers = await asyncio.gather(async_ask(left, "b", 20), async_ask(left, "b", 30))
-        assert [answer.unwrap().queue_ms for answer in answers] == [21, 31]
+            link._channel.send(misdirected)
+        answers = await asyncio.gather(
+            async_send_request(left, "b", 20), async_send_request(left, "b", 30)
+        )
+        assert [response.unwrap().queue_ms for response in answers] == [21, 31]
         await asyncio.gather(left.peers.async_close(), right.peers.async_close())
 
     run_virtual(async_test())
 
 
 @pytest.mark.parametrize("fault", ["cut", "unknown", "oversized"])
-def test_not_sent_is_said_when_certain(fault: str) -> None:
+def test_not_sent_is_reported_when_certain(fault: str) -> None:
     async def async_test() -> None:
         network = FakeNetwork(LoopClock())
         left, right = await async_make_pair(network)
@@ -205,16 +210,16 @@
     run_virtual(async_test())
 
 
-def test_a_cut_under_way_is_not_called_not_sent() -> None:
-    """The link breaks while the other side runs the request: nobody may claim it did not run."""
+def test_link_lost_during_a_request_is_not_reported_as_not_sent() -> None:
+    """The link breaks while the other side runs the request: it may have run."""
 
     async def async_test() -> None:
         network = FakeNetwork(LoopClock())
         left, right = await async_make_pair(network, delay_ms=500)
-        asking = asyncio.create_task(async_ask(left, "b", timeout_ms=5000))
+        request = asyncio.create_task(async_send_request(left, "b", timeout_ms=5000))
         await asyncio.sleep(0.1)
         network.cut("10.0.0.1", "10.0.0.2")
-        failed = await asking
+        failed = await request
         assert isinstance(failed, Err)
         assert not failed.err_value.not_sent
         await asyncio.gather(left.peers.async_close(), right.peers.async_close())
@@ -226,9 +231,9 @@
     async def async_test() -> None:
         network = FakeNetwork(LoopClock())
         left, right = await async_make_pair(network)
-        assert isinstance(await async_ask(left, "b"), Ok)
+        assert isinstance(await async_send_request(left, "b"), Ok)
         assert left.peers.count_reachable() == 1
-        await asyncio.sleep(2 * IDLE_MS / 1000)
+        await asyncio.sleep(2 * IDLE_TIMEOUT_MS / 1000)
         assert left.peers.count_reachable() == 0
         assert not left.peers._all_links
         assert not right.peers._all_links
