--- a/goldcreststair/components/crash_marks/__init__.py
+++ b/goldcreststair/components/crash_marks/__init__.py
@@ -1,4 +1,4 @@
-"""Which requests crash the upstreams that run them, over all gateway daemons."""
+"""Detects requests that crash the upstreams that run them, across all gateway daemons."""
 
 from goldcreststair.components.crash_marks.service import CRASH_TRACKER, CrashTracker
 from goldcreststair.core import Component
@@ -6,7 +6,7 @@
 
 
 async def async_setup(core: GatewayCore) -> Component:
-    """Set up the marks."""
-    marks = CrashTracker(core)
-    core.offer(CRASH_TRACKER, marks)
-    return marks
+    """Set up the crash tracker."""
+    tracker = CrashTracker(core)
+    core.offer(CRASH_TRACKER, tracker)
+    return tracker
--- a/goldcreststair/components/crash_marks/service.py
+++ b/goldcreststair/components/crash_marks/service.py
@@ -1,8 +1,8 @@
-"""Counts the crashes that each request was running at, over all daemons, in the store.
+"""Counts, in the store, the crashes during which each request was running at any daemon.
 
-Load it answers: now and then one request crashes each upstream that runs it, and its caller sends it
-again, at any VM. A crash costs all runs of an upstream; the request has to be known after a few, wherever
-it comes back, while the innocent that ran beside it go on.
+Now and then a request crashes each upstream that runs it, and its caller sends it again, to any VM.
+A crash ends all runs of an upstream, so the request has to be recognised after a few crashes,
+whichever VM receives it, while other requests that ran there are still accepted.
 """
 
 import asyncio
@@ -15,15 +15,15 @@
 
 from goldcreststair.clock import Millis
 from goldcreststair.components.crash_marks.const import (
-    BEGUN,
-    BEGUN_CRASHES_TO_REFUSE,
+    ALL_CRASHES_TO_REFUSE,
+    BEGUN_SUFFIX,
+    COLLECT_MS,
     CRASHES_TO_REFUSE,
-    GATHER_MS,
-    MAX_MARKS,
-    MAX_SHARED,
+    MAX_REFUSED_IN_BEACON,
+    MAX_ROWS,
+    MAX_WRITE_ATTEMPTS,
     REFUSED_MS,
     TABLE,
-    TRIES,
 )
 from goldcreststair.components.discovery.models import UpstreamEntry
 from goldcreststair.components.fleet.protocols import FLEET_LINKS
@@ -38,26 +38,27 @@
 
 
 class CrashTracker:
-    """Finds crashes among lost runs, marks what ran there, and knows what to refuse."""
+    """Detects crashes from lost runs, records the requests that were running, and refuses them."""
 
     def __init__(self, core: GatewayCore) -> None:
-        """Know nothing."""
+        """Start without lost runs and refused requests."""
         self._core = core
         self._clock = core.clock
         self._links = core.get(FLEET_LINKS)
         self._links.add_beacon_contributor(self._contribute)
         self._links.subscribe_beacons(self._on_beacon, lambda _: None)
         self._lost: dict[str, dict[str, bool]] = {}
-        """By upstream, the runs that were lost a moment ago: fingerprint, and whether it had begun."""
+        """By upstream, the runs that were just lost: fingerprint, and whether the run had produced
+        output."""
         self._refused: dict[str, Millis] = {}
-        """Fingerprint to the time until which it is refused."""
+        """Until when each fingerprint is refused."""
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def async_start(self) -> None:
-        """Do nothing; lost runs drive it."""
+        """Do nothing; reports of lost runs drive this component."""
 
     async def async_close(self) -> None:
-        """Stop."""
+        """Cancel the running checks."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -68,50 +69,51 @@
         return until is not None and until > self._clock.now()
 
     def report_lost_run(self, entry: UpstreamEntry, fingerprint: str, *, begun: bool) -> None:
-        """Note that a run's connection broke; `begun` says that the run had brought something."""
+        """Report that a run's connection broke; `begun` if the run had produced output."""
         if entry.name in self._lost:
             self._lost[entry.name][fingerprint] = begun
             return
         self._lost[entry.name] = {fingerprint: begun}
-        task = asyncio.create_task(self._async_look(entry))
+        task = asyncio.create_task(self._async_check_upstream(entry))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _async_look(self, entry: UpstreamEntry) -> None:
-        await self._clock.async_sleep(GATHER_MS)
+    async def _async_check_upstream(self, entry: UpstreamEntry) -> None:
+        await self._clock.async_sleep(COLLECT_MS)
         lost = self._lost.pop(entry.name)
-        # A single connection breaks now and then; only an upstream that takes no new one has crashed.
+        # Single connections break now and then; an upstream has crashed only if it accepts no new
+        # connection.
         if await self._core.runner.pool.async_warm(entry.address, CONNECT_TIMEOUT_MS):
             return
         extra = {"upstream": entry.name, "runs": len(lost)}
-        _LOGGER.warning("Upstream crashed with runs of this daemon", extra=extra)
+        _LOGGER.warning("Upstream crashed while running requests of this daemon", extra=extra)
         crash = f"{entry.name}:{entry.started_ms}"
         for begun in (False, True):
             names = sorted(name for name, had_begun in lost.items() if had_begun is begun)
-            for part in _cut(names):
-                await self._async_mark(part, crash + BEGUN if begun else crash)
+            for part in _split(names):
+                await self._async_record_crash(part, crash + BEGUN_SUFFIX if begun else crash)
 
-    async def _async_mark(self, fingerprints: list[str], crash: str) -> None:
+    async def _async_record_crash(self, fingerprints: list[str], crash: str) -> None:
         """Add a crash to the rows of some fingerprints."""
-        for _ in range(TRIES):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             first, last = fingerprints[0], fingerprints[-1]
             read = await self._core.adapter.store.async_read(
                 RowRange(TABLE, first=first, end=last + "\0")
             )
             if isinstance(read, Err):
-                _LOGGER.warning("Crash not marked: %s", read.err_value.message)
+                _LOGGER.warning("Crash not recorded: %s", read.err_value.message)
                 return
             known = {row.key.key: row for row in read.ok_value.rows}
             marks = {name: _add_crash(known.get(name), crash) for name in fingerprints}
-            written = await self._async_write(marks, known)
+            written = await self._async_write_marks(marks, known)
             if isinstance(written, Ok):
-                self._refuse(name for name, found in marks.items() if is_poison(found))
+                self._refuse(name for name, found in marks.items() if must_refuse(found))
                 return
             if not isinstance(written.err_value, RowsConflict):
-                _LOGGER.warning("Crash not marked: %s", written.err_value.message)
+                _LOGGER.warning("Crash not recorded: %s", written.err_value.message)
                 return
 
-    async def _async_write(
+    async def _async_write_marks(
         self, marks: dict[str, list[str]], known: dict[str, StoredRow]
     ) -> Ok[object] | Err[PlatformError]:
         puts = tuple((RowKey(TABLE, "", n), orjson.dumps(found)) for n, found in marks.items())
@@ -124,39 +126,41 @@
         until = Millis(self._clock.now() + REFUSED_MS)
         for fingerprint in fingerprints:
             if not self.is_refused(fingerprint):
-                _LOGGER.warning("Request crashes upstreams", extra={"fingerprint": fingerprint})
+                _LOGGER.warning(
+                    "Request quarantined after upstream crashes", extra={"fingerprint": fingerprint}
+                )
                 self._refused[fingerprint] = until
                 self._links.schedule_beacon()
 
     def _contribute(self, beacon: Beacon) -> None:
         now = self._clock.now()
         self._refused = {name: until for name, until in self._refused.items() if until > now}
-        beacon.refused = list(self._refused)[-MAX_SHARED:] or None
+        beacon.refused = list(self._refused)[-MAX_REFUSED_IN_BEACON:] or None
 
     def _on_beacon(self, _: str, beacon: Beacon) -> None:
         self._refuse(beacon.refused or ())
 
 
-def is_poison(crashes: list[str]) -> bool:
-    """Return whether a request that ran at these crashes is refused from now on.
+def must_refuse(crashes: list[str]) -> bool:
+    """Return whether a request that was running at these crashes is refused from now on.
 
-    >>> is_poison(["a:1", "b:1"]), is_poison(["a:1", "b:1", "a:2"])
+    >>> must_refuse(["a:1", "b:1"]), must_refuse(["a:1", "b:1", "a:2"])
     (False, True)
-    >>> is_poison(["a:1", "b:1", "a:2:begun"])
+    >>> must_refuse(["a:1", "b:1", "a:2:begun"])
     False
     """
-    at_begin = sum(not crash.endswith(BEGUN) for crash in crashes)
-    return at_begin >= CRASHES_TO_REFUSE or len(crashes) >= BEGUN_CRASHES_TO_REFUSE
+    before_output = sum(not crash.endswith(BEGUN_SUFFIX) for crash in crashes)
+    return before_output >= CRASHES_TO_REFUSE or len(crashes) >= ALL_CRASHES_TO_REFUSE
 
 
 def _add_crash(row: StoredRow | None, crash: str) -> list[str]:
     crashes: list[str] = orjson.loads(row.value) if row is not None else []
-    # One crash is met by the runs of several daemons, and by a request that was sent to two.
+    # Several daemons, or one request sent to two, may report the same crash.
     return crashes if crash in crashes else [*crashes, crash]
 
 
-def _cut(names: list[str]) -> list[list[str]]:
-    return [names[at : at + MAX_MARKS] for at in range(0, len(names), MAX_MARKS)]
+def _split(names: list[str]) -> list[list[str]]:
+    return [names[at : at + MAX_ROWS] for at in range(0, len(names), MAX_ROWS)]
 
 
 CRASH_TRACKER: Final = ComponentKey[CrashTracker]("crash_marks")
--- a/goldcreststair/components/peers/link.py
+++ b/goldcreststair/components/peers/link.py
@@ -137,7 +137,7 @@
             return
         if envelope.kind == FrameKind.REFUSED:
             pending.set_result(
-                Err(PeerError("request rejected before it was handled", not_sent=True))
+                Err(PeerError("request refused before it was handled", not_sent=True))
             )
         else:
             pending.set_result(Ok(envelope))
--- a/goldcreststair/datagrams.py
+++ b/goldcreststair/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between daemons: the protocol, and UDP behind it."""
+"""Datagram transport between daemons, and its implementation over UDP."""
 
 import asyncio
 import logging
@@ -8,20 +8,20 @@
 _LOGGER = logging.getLogger(__name__)
 
 DatagramHandler = Callable[[bytes, str], None]
-"""Takes a datagram and the IP number it came from."""
+"""Receives a datagram and the sender's IP address."""
 
 
 class DatagramTransport(Protocol):
-    """Sends and receives datagrams, which may be lost, doubled or late."""
+    """Sends and receives datagrams, which may be lost, duplicated or delayed."""
 
     async def async_listen(self, address: str, port: int, on_datagram: DatagramHandler) -> int:
-        """Receive from now on; returns the port really bound."""
+        """Start to receive; returns the port that was actually bound."""
 
     def send(self, address: str, port: int, datagram: bytes) -> None:
-        """Send one datagram; never waits and never raises."""
+        """Send one datagram; never blocks and never raises."""
 
     def close(self) -> None:
-        """Stop; safe to call twice."""
+        """Close the transport; safe to call twice."""
 
 
 class _Protocol(asyncio.DatagramProtocol):
@@ -32,20 +32,20 @@
         self._on_datagram(data, str(addr[0]))
 
     def error_received(self, exc: Exception) -> None:
-        # Shows when a datagram met a port without listener: the other daemon has ended, which
-        # the silence that follows tells as well.
+        # Called when a datagram reached a port without a listener: the other daemon has ended,
+        # which its missing beacons show as well.
         _LOGGER.debug("Datagram failed: %r", exc)
 
 
 class UdpTransport:
-    """Datagrams over UDP."""
+    """Implements `DatagramTransport` over UDP."""
 
     def __init__(self) -> None:
         """Start without a socket."""
         self._transport: asyncio.DatagramTransport | None = None
 
     async def async_listen(self, address: str, port: int, on_datagram: DatagramHandler) -> int:
-        """Bind and receive."""
+        """Bind the socket and start to receive; returns the port that was actually bound."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: _Protocol(on_datagram), local_addr=(address, port)
--- a/tests/components/crash_marks/test_service.py
+++ b/tests/components/crash_marks/test_service.py
@@ -1,4 +1,4 @@
-"""A request that crashes each upstream that runs it."""
+"""Tests with a request that crashes each upstream that runs it."""
 
 import asyncio
 
@@ -13,11 +13,12 @@
 POISON = b"crash"
 
 
-def test_a_request_that_crashes_upstreams_is_refused_everywhere_and_others_are_not() -> None:
-    """Engines went down one after the other, and everybody's streams with them.
+def test_request_that_crashes_upstreams_is_refused_everywhere() -> None:
+    """Guards against one request that brings down all engines, and all streams on them.
 
-    One caller's request crashed each engine that ran it, and its client sent it again, each time to
-    another VM and under another id. After three crashes no VM runs it any more; what ran beside it goes on.
+    A caller's request crashes each engine that runs it, and its client sends it again, each time to
+    another VM and with another id. After three crashes no VM runs it any more, while requests that
+    ran on the same engines complete.
     """
 
     async def scenario(fleet: GatewayFleet) -> None:
@@ -25,7 +26,7 @@
         fleet.engines.poison = POISON
         members = await fleet.async_add_many(3)
         await fleet.clock.async_sleep(1_000)
-        beside = [
+        concurrent = [
             asyncio.create_task(async_send(fleet, members[n % 3], f"/stream/{n}", b"%d" % n))
             for n in range(12)
         ]
@@ -40,13 +41,13 @@
         for member in members:
             answer = await async_send(fleet, member, "/stream/p", POISON)
             assert answer.refusal is not None and answer.refusal.code is RefusalCode.QUARANTINED
-        assert all(answer.whole for answer in await asyncio.gather(*beside))
+        assert all(answer.whole for answer in await asyncio.gather(*concurrent))
         assert (await async_send(fleet, members[0], "/stream/q", b"other")).whole
 
     run_fleet(scenario)
 
 
-def test_a_batch_item_that_crashes_upstreams_holds_nobody_up() -> None:
+def test_batch_item_that_crashes_upstreams_does_not_block_others() -> None:
     async def scenario(fleet: GatewayFleet) -> None:
         fleet.add_engines(4)
         fleet.engines.poison = b"digest-1"
@@ -63,8 +64,11 @@
     run_fleet(scenario)
 
 
-def test_an_item_that_was_beside_crashes_ends() -> None:
-    """An item lay to the end of its job beside free upstreams: it had run where others crashed three."""
+def test_item_that_ran_during_crashes_completes() -> None:
+    """Guards against an innocent item that is left waiting although upstreams are free.
+
+    It was running at the three crashes that other requests caused.
+    """
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = fleet.add_engines(6)
@@ -86,8 +90,8 @@
 
 
 @pytest.mark.parametrize("leaves", [False, True])
-def test_an_item_that_crashes_upstreams_is_tried_again_three_times_at_most(leaves: bool) -> None:
-    """An item that crashes each upstream that runs it was sent to one after the other all day."""
+def test_item_that_crashes_upstreams_is_retried_at_most_three_times(leaves: bool) -> None:
+    """Guards against an item that is sent to one upstream after the other and crashes each."""
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = fleet.add_engines(4)
@@ -111,7 +115,7 @@
     run_fleet(scenario)
 
 
-def test_a_connection_that_broke_is_no_crash() -> None:
+def test_broken_connection_does_not_count_as_crash() -> None:
     async def scenario(fleet: GatewayFleet) -> None:
         (engine,) = fleet.add_engines(1)
         (member,) = await fleet.async_add_many(1)
