--- a/goldcreststair/components/crash_marks/service.py
+++ b/goldcreststair/components/crash_marks/service.py
@@ -38,7 +38,7 @@
 
 
 class CrashTracker:
-    """Detects crashes from lost runs, records the requests that were running, and refuses them."""
+    """Detects crashes from lost runs, records which requests ran, and decides what to refuse."""
 
     def __init__(self, core: GatewayCore) -> None:
         """Start without lost runs and refused requests."""
--- a/goldcreststair/components/fleet/dissemination.py
+++ b/goldcreststair/components/fleet/dissemination.py
@@ -239,7 +239,7 @@
             self._apply_fleet_digest(digest, included)
 
     def _schedule_digest(self) -> None:
-        """Schedule the next digest if any daemon follows this one."""
+        """Schedule the next digest if any daemon follows this relay."""
         if not self._tracker.list_followers():
             return
         gap_ms = DIGEST_GAP_MS if self._changed else DIGEST_IDLE_MS
