--- a/goldcreststair/components/fleet/peer_requests.py
+++ b/goldcreststair/components/fleet/peer_requests.py
@@ -112,7 +112,7 @@
                 # off.
                 await channel.async_receive()
         except TimeoutError:
-            _LOGGER.info("Peer request aborted: the peer sent or read nothing in time")
+            _LOGGER.info("Peer request aborted: not finished in time")
         except ValueError:
             _LOGGER.warning("Peer request of an unknown kind")
         finally:
