--- a/goldcreststair/components/claims/keeper.py
+++ b/goldcreststair/components/claims/owner.py
@@ -20,7 +20,7 @@
     decide_wait,
 )
 from goldcreststair.components.claims.models import AnswerCode, ClaimRecord, ClaimState, Ending
-from goldcreststair.components.claims.released import ReleasedRequests
+from goldcreststair.components.claims.released_requests import ReleasedRequests
 from goldcreststair.components.ledger.protocols import (
     LEDGER,
     Change,
--- a/goldcreststair/components/claims/retention.py
+++ b/goldcreststair/components/claims/retention.py
@@ -11,7 +11,7 @@
     RETENTION_TICKS,
     TICK_MS,
 )
-from goldcreststair.components.claims.keeper import read_tick
+from goldcreststair.components.claims.owner import read_tick
 from goldcreststair.components.ledger.protocols import LEDGER, Change, Partition
 from goldcreststair.core import Core
 
--- a/goldcreststair/components/claims/service.py
+++ b/goldcreststair/components/claims/service.py
@@ -21,9 +21,9 @@
     RETRY_DELAY_MS,
     WAIT_SLICE_MS,
 )
-from goldcreststair.components.claims.exchange import Exchange, Handler, NoAnswer
-from goldcreststair.components.claims.keeper import ClaimKeeper
 from goldcreststair.components.claims.models import AnswerCode, Ending, StoredOutcome
+from goldcreststair.components.claims.owner import ClaimKeeper
+from goldcreststair.components.claims.owner_client import Exchange, Handler, NoAnswer
 from goldcreststair.components.claims.protocols import (
     ClaimError,
     ClaimProblem,
--- a/goldcreststair/components/configuration/controller.py
+++ b/goldcreststair/components/configuration/controller.py
@@ -16,11 +16,10 @@
     FETCH_TIMEOUT_MS,
     MAX_PATCHES,
 )
+from goldcreststair.components.configuration.decoding_cache import DecodingMemory
 from goldcreststair.components.configuration.document import decode_document
 from goldcreststair.components.configuration.errors import ConfigurationError
-from goldcreststair.components.configuration.memory import DecodingMemory
 from goldcreststair.components.configuration.models import CONFIGURATION, Configuration
-from goldcreststair.components.configuration.spread import Spread
 from goldcreststair.components.configuration.store import (
     Applied,
     ConfigurationStore,
@@ -29,6 +28,7 @@
     advance,
     decode_stored,
 )
+from goldcreststair.components.configuration.version_tracker import Spread
 from goldcreststair.components.membership.models import HEARD_VERSION, HeardVersion
 from goldcreststair.components.peers.protocols import PEERS
 from goldcreststair.core import ComponentKey, Core
--- a/goldcreststair/components/configuration/document.py
+++ b/goldcreststair/components/configuration/document.py
@@ -5,8 +5,8 @@
 
 from result import Err, Ok, Result
 
+from goldcreststair.components.configuration.decoding_cache import Decode, DecodingMemory
 from goldcreststair.components.configuration.errors import DocumentInvalid
-from goldcreststair.components.configuration.memory import Decode, DecodingMemory
 from goldcreststair.components.configuration.models import (
     Configuration,
     Customer,
--- a/goldcreststair/components/limits/takeover.py
+++ b/goldcreststair/components/limits/coordinator_tasks.py
@@ -22,7 +22,7 @@
     SUPPORTERS,
     SUPPORTERS_RECORD,
 )
-from goldcreststair.components.limits.homes import Home, Homes, find_customer_index
+from goldcreststair.components.limits.coordinators import Home, Homes, find_customer_index
 from goldcreststair.components.membership.models import MEMBERS, MemberState
 from goldcreststair.components.peers.protocols import PeerLinks, PeerMessage
 from goldcreststair.core import Core
--- a/goldcreststair/components/limits/homes.py
+++ b/goldcreststair/components/limits/coordinators.py
@@ -11,9 +11,9 @@
     STORE_RIGHT_MS,
     SUPPORTERS_RECORD,
 )
-from goldcreststair.components.limits.home import HomeBucket
+from goldcreststair.components.limits.coordinator_bucket import HomeBucket
+from goldcreststair.components.limits.lease import HomeRight, TakeOver
 from goldcreststair.components.limits.models import Allowance, HeldBucket, HomeAnswer, LotReport
-from goldcreststair.components.limits.right import HomeRight, TakeOver
 from goldcreststair.components.limits.static_share import find_home_allowance
 
 RIGHT_LAPSED_RETRY_MS = 1000
--- a/goldcreststair/components/limits/fleet.py
+++ b/goldcreststair/components/limits/fleet.py
@@ -9,7 +9,6 @@
 from goldcreststair.components.configuration.models import CONFIGURATION, Customer
 from goldcreststair.components.ledger.protocols import LEDGER
 from goldcreststair.components.limits import messages
-from goldcreststair.components.limits.borrower import Borrower, Waiter
 from goldcreststair.components.limits.const import (
     ADMIT_WAIT_MS,
     ASK_INTERVAL_MS,
@@ -19,12 +18,13 @@
     OWNER_READ_INTERVAL_MS,
     UNREACHABLE_RETRY_MS,
 )
-from goldcreststair.components.limits.homes import Homes, find_customer_index
+from goldcreststair.components.limits.coordinator_tasks import HomeTasks
+from goldcreststair.components.limits.coordinators import Homes, find_customer_index
 from goldcreststair.components.limits.models import HomeAnswer
 from goldcreststair.components.limits.protocols import LimitExceeded
-from goldcreststair.components.limits.silence import AskSilence
+from goldcreststair.components.limits.response_timer import AskSilence
 from goldcreststair.components.limits.static_share import StaticShare
-from goldcreststair.components.limits.takeover import HomeTasks
+from goldcreststair.components.limits.token_requester import Borrower, Waiter
 from goldcreststair.components.membership.models import MEMBERS
 from goldcreststair.components.membership.protocols import MEMBERSHIP
 from goldcreststair.components.peers.protocols import PEERS, PeerError, PeerMessage
--- a/goldcreststair/components/limits/static_share.py
+++ b/goldcreststair/components/limits/static_share.py
@@ -3,7 +3,7 @@
 from goldcreststair.clock import Millis
 from goldcreststair.components.configuration.models import Customer
 from goldcreststair.components.limits.const import FIRST_SLOTS, FIRST_SLOTS_PART, STATIC_FRACTION
-from goldcreststair.components.limits.home import HomeBucket
+from goldcreststair.components.limits.coordinator_bucket import HomeBucket
 from goldcreststair.components.limits.models import Allowance
 
 
--- a/goldcreststair/components/limits/borrower.py
+++ b/goldcreststair/components/limits/token_requester.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass, field
 
 from goldcreststair.clock import Millis
-from goldcreststair.components.limits.borrowed import BorrowedBucket
 from goldcreststair.components.limits.const import (
     ASK_INTERVAL_MS,
     FIRST_MOVING_ASK_MS,
     OWNER_READ_INTERVAL_MS,
 )
+from goldcreststair.components.limits.granted_tokens import BorrowedBucket
 
 MAX_DOUBLINGS = 8
 
--- a/goldcreststair/components/steering/views.py
+++ b/goldcreststair/components/steering/views.py
@@ -3,7 +3,7 @@
 from goldcreststair.components.caller_api.handler import CallerHandler
 from goldcreststair.components.configuration.models import CONFIGURATION
 from goldcreststair.components.ledger.protocols import LEDGER
-from goldcreststair.components.limits.homes import find_customer_index
+from goldcreststair.components.limits.coordinators import find_customer_index
 from goldcreststair.components.membership.models import (
     MEMBER_LOADS,
     MEMBERS,
--- a/standins/measure/capacity.py
+++ b/standins/measure/capacity.py
@@ -13,10 +13,10 @@
 from goldcreststair.components.batch.records import encode_record as encode_batch
 from goldcreststair.components.claims.codec import encode_record as encode_claim
 from goldcreststair.components.claims.models import ClaimRecord, ClaimState, StoredOutcome
+from goldcreststair.components.configuration.decoding_cache import DecodingMemory
 from goldcreststair.components.configuration.document import decode_document, merge_patch
-from goldcreststair.components.configuration.memory import DecodingMemory
 from goldcreststair.components.configuration.models import CONFIGURATION, Objective
-from goldcreststair.components.limits.home import HomeBucket
+from goldcreststair.components.limits.coordinator_bucket import HomeBucket
 from goldcreststair.components.limits.models import Allowance
 from goldcreststair.components.routing.controller import AffinityRouter
 from goldcreststair.components.routing.protocols import RouteQuery
--- a/standins/measure/handover.py
+++ b/standins/measure/handover.py
@@ -18,7 +18,7 @@
 from goldcreststair.components.claims.protocols import CLAIMS, ClaimRequest
 from goldcreststair.components.configuration.models import CONFIGURATION, Customer
 from goldcreststair.components.ledger.protocols import LEDGER
-from goldcreststair.components.limits.home import HomeBucket
+from goldcreststair.components.limits.coordinator_bucket import HomeBucket
 from goldcreststair.components.limits.models import Allowance
 from goldcreststair.components.limits.protocols import LIMITS
 from goldcreststair.components.membership.models import MemberState
--- a/standins/measure/limits.py
+++ b/standins/measure/limits.py
@@ -10,7 +10,7 @@
 
 from goldcreststair.clock import Millis
 from goldcreststair.components.configuration.models import Customer
-from goldcreststair.components.limits.home import HomeBucket
+from goldcreststair.components.limits.coordinator_bucket import HomeBucket
 from goldcreststair.components.limits.models import Allowance
 from standins.measure.excess import find_excess
 from standins.measure.limit_fleet import LimitFleet
--- a/tests/components/claims/test_histories.py
+++ b/tests/components/claims/test_histories.py
@@ -11,7 +11,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule, run_state_machine_as_test
 from result import Ok
 
-from goldcreststair.components.claims import decisions, keeper
+from goldcreststair.components.claims import decisions, owner
 from goldcreststair.components.claims.models import AnswerCode
 from goldcreststair.components.claims.protocols import (
     ClaimRequest,
@@ -162,7 +162,7 @@
         return replace(genuine(found, wanted, is_gone), write=None)
 
     genuine = decisions.decide_claim
-    monkeypatch.setattr(keeper, "decide_claim", decide)
+    monkeypatch.setattr(owner, "decide_claim", decide)
 
 
 @pytest.mark.parametrize("plant", [plant_rerun, plant_undurable_grant])
--- a/tests/components/configuration/test_memory.py
+++ b/tests/components/configuration/test_decoding_cache.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 from result import Err
 
+from goldcreststair.components.configuration.decoding_cache import DecodingMemory
 from goldcreststair.components.configuration.document import decode_document, merge_patch
-from goldcreststair.components.configuration.memory import DecodingMemory
 from tests.helpers.cores import make_document
 
 NAMES = st.sampled_from(["acme", "busy", "calm"])
--- a/tests/components/limits/worlds.py
+++ b/tests/components/limits/limit_simulation.py
@@ -8,9 +8,9 @@
 from goldcreststair.clock import Millis
 from goldcreststair.components.configuration.models import Customer
 from goldcreststair.components.ledger.protocols import Partition
-from goldcreststair.components.limits.borrowed import BorrowedBucket
 from goldcreststair.components.limits.const import SUPPORTERS_RECORD
-from goldcreststair.components.limits.homes import Home, Homes
+from goldcreststair.components.limits.coordinators import Home, Homes
+from goldcreststair.components.limits.granted_tokens import BorrowedBucket
 from goldcreststair.components.limits.static_share import StaticShare
 from standins.measure.excess import find_excess
 from tests.helpers.ledgers import FakePartition
--- a/tests/components/limits/test_bound.py
+++ b/tests/components/limits/test_bound.py
@@ -10,13 +10,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from goldcreststair.clock import Millis
-from goldcreststair.components.limits.borrowed import BorrowedBucket
 from goldcreststair.components.limits.const import SUPPORT_RIGHT_MS
-from goldcreststair.components.limits.home import HomeBucket, _Lot
-from goldcreststair.components.limits.homes import Home
+from goldcreststair.components.limits.coordinator_bucket import HomeBucket, _Lot
+from goldcreststair.components.limits.coordinators import Home
+from goldcreststair.components.limits.granted_tokens import BorrowedBucket
+from goldcreststair.components.limits.lease import HomeRight, TakeOver
 from goldcreststair.components.limits.models import HeldBucket, LotReport
-from goldcreststair.components.limits.right import HomeRight, TakeOver
-from tests.components.limits.worlds import Vm, World
+from tests.components.limits.limit_simulation import Vm, World
 
 VM = st.integers(0, 3)
 POSITION = st.integers(0, 30)
--- a/tests/components/limits/test_slow_home.py
+++ b/tests/components/limits/test_slow_coordinator.py
@@ -14,7 +14,7 @@
     ASK_TIMEOUT_MS,
     UNREACHABLE_RETRY_MS,
 )
-from goldcreststair.components.limits.silence import AskSilence
+from goldcreststair.components.limits.response_timer import AskSilence
 from tests.components.limits.test_fleet import ACME, Callers, run_fleet
 from tests.helpers.virtual_time import VirtualTimeLoop
 
--- a/tests/faults/test_planted.py
+++ b/tests/faults/test_planted.py
@@ -7,7 +7,7 @@
 import pytest
 from result import Ok
 
-from goldcreststair.components.claims import keeper
+from goldcreststair.components.claims import owner
 from goldcreststair.components.claims.decisions import Decision
 from goldcreststair.components.claims.models import AnswerCode
 from goldcreststair.components.limits.fleet import FleetLimits
@@ -20,7 +20,7 @@
     def decide(_found: Any, wanted: Any, _is_gone: Any) -> Decision:
         return Decision(AnswerCode.GRANTED, wanted)
 
-    monkeypatch.setattr(keeper, "decide_claim", decide)
+    monkeypatch.setattr(owner, "decide_claim", decide)
 
 
 def admit_everything(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,7 +12,7 @@
 from goldcreststair.components import claims, ledger, limits
 from goldcreststair.components.configuration.models import Customer
 from goldcreststair.components.ledger.protocols import LEDGER
-from goldcreststair.components.limits.homes import find_customer_index
+from goldcreststair.components.limits.coordinators import find_customer_index
 from goldcreststair.components.limits.protocols import LIMITS
 from goldcreststair.components.membership.models import MemberState
 from goldcreststair.components.membership.protocols import MEMBERSHIP
