--- a/goldcreststair/components/claims/owner.py
+++ b/goldcreststair/components/claims/owner.py
@@ -38,7 +38,7 @@
 )
 
 
-class ClaimKeeper:
+class ClaimOwner:
     """Answers claim messages for the partitions that this VM owns."""
 
     def __init__(self, core: Core) -> None:
--- a/goldcreststair/components/claims/service.py
+++ b/goldcreststair/components/claims/service.py
@@ -22,7 +22,7 @@
     WAIT_SLICE_MS,
 )
 from goldcreststair.components.claims.models import AnswerCode, Ending, StoredOutcome
-from goldcreststair.components.claims.owner import ClaimKeeper
+from goldcreststair.components.claims.owner import ClaimOwner
 from goldcreststair.components.claims.owner_client import Exchange, Handler, NoAnswer
 from goldcreststair.components.claims.protocols import (
     ClaimError,
@@ -61,7 +61,7 @@
         """Register the messages."""
         self._core = core
         self._ledger = core.get(LEDGER)
-        self._keeper = keeper = ClaimKeeper(core)
+        self._keeper = keeper = ClaimOwner(core)
         handlers: dict[type[Any], Handler] = {
             ClaimMessage: keeper.async_claim,
             SettleMessage: keeper.async_end,
--- a/goldcreststair/components/configuration/controller.py
+++ b/goldcreststair/components/configuration/controller.py
@@ -16,7 +16,7 @@
     FETCH_TIMEOUT_MS,
     MAX_PATCHES,
 )
-from goldcreststair.components.configuration.decoding_cache import DecodingMemory
+from goldcreststair.components.configuration.decoding_cache import DecodingCache
 from goldcreststair.components.configuration.document import decode_document
 from goldcreststair.components.configuration.errors import ConfigurationError
 from goldcreststair.components.configuration.models import CONFIGURATION, Configuration
@@ -52,7 +52,7 @@
         self.store = ConfigurationStore(core.platform.table)
         self._core = core
         self._spread = Spread()
-        self._memory = DecodingMemory()
+        self._memory = DecodingCache()
         self._stored: StoredVersion | None = None
         self._log: deque[HistoryEntry] = deque(maxlen=MAX_PATCHES)
         self._writer: SectionWriter[Configuration] = core.blackboard.open_section(
--- a/goldcreststair/components/configuration/decoding_cache.py
+++ b/goldcreststair/components/configuration/decoding_cache.py
@@ -16,7 +16,7 @@
     decoded: dict[str, Any] = field(default_factory=dict)
 
 
-class DecodingMemory:
+class DecodingCache:
     """The last document's entries. A merge patch keeps untouched entries as the same objects.
 
     Decoding 3,100 upstreams takes 41 ms in one piece, at each of 3,800 changes a day: it shows as a
--- a/goldcreststair/components/configuration/document.py
+++ b/goldcreststair/components/configuration/document.py
@@ -5,7 +5,7 @@
 
 from result import Err, Ok, Result
 
-from goldcreststair.components.configuration.decoding_cache import Decode, DecodingMemory
+from goldcreststair.components.configuration.decoding_cache import Decode, DecodingCache
 from goldcreststair.components.configuration.errors import DocumentInvalid
 from goldcreststair.components.configuration.models import (
     Configuration,
@@ -58,19 +58,19 @@
 
 
 def decode_document(
-    version: int, document: Document, memory: DecodingMemory | None = None
+    version: int, document: Document, memory: DecodingCache | None = None
 ) -> Result[Configuration, DocumentInvalid]:
     """Check a document and return it as a configuration; the error names the field.
 
     With `memory`, entries that the last document decoded with it held as well are reused.
     """
     try:
-        return Ok(_decode(version, document, memory or DecodingMemory()))
+        return Ok(_decode(version, document, memory or DecodingCache()))
     except _FieldError as error:
         return Err(DocumentInvalid(str(error), error.field))
 
 
-def _decode(version: int, document: Document, memory: DecodingMemory) -> Configuration:
+def _decode(version: int, document: Document, memory: DecodingCache) -> Configuration:
     if not isinstance(document, Mapping):
         raise _FieldError("", "must be an object")
     for section in document:
@@ -103,7 +103,7 @@
 
 
 def _decode_section(
-    memory: DecodingMemory, document: Document, name: str, decode: Decode[T]
+    memory: DecodingCache, document: Document, name: str, decode: Decode[T]
 ) -> dict[str, T]:
     section = document.get(name, {})
     if not isinstance(section, Mapping):
--- a/goldcreststair/components/limits/coordinator_bucket.py
+++ b/goldcreststair/components/limits/coordinator_bucket.py
@@ -20,7 +20,7 @@
         return self.amount - self.spent
 
 
-class HomeBucket:
+class CoordinatorBucket:
     """Keeps level + tokens lent within the burst at every moment; times are the home's own."""
 
     def __init__(self, allowance: Allowance, now: Millis, level: float = 0.0) -> None:
@@ -45,7 +45,7 @@
         self._level -= 1
         return True
 
-    def lend(self, session_id: str, number: int, want: int, now: Millis) -> int:
+    def grant_tokens(self, session_id: str, number: int, want: int, now: Millis) -> int:
         """Lend up to `want` tokens as lot `number`; an ask seen before gets nothing."""
         self._settle(now)
         key = (session_id, number)
--- a/goldcreststair/components/limits/coordinators.py
+++ b/goldcreststair/components/limits/coordinators.py
@@ -11,7 +11,7 @@
     STORE_RIGHT_MS,
     SUPPORTERS_RECORD,
 )
-from goldcreststair.components.limits.coordinator_bucket import HomeBucket
+from goldcreststair.components.limits.coordinator_bucket import CoordinatorBucket
 from goldcreststair.components.limits.lease import HomeRight, TakeOver
 from goldcreststair.components.limits.models import Allowance, HeldBucket, HomeAnswer, LotReport
 from goldcreststair.components.limits.static_share import find_home_allowance
@@ -31,7 +31,7 @@
     right: HomeRight
     writing: bool = False
     """Whether a new set of supporters is on its way to the store."""
-    buckets: dict[str, HomeBucket] = field(default_factory=dict)
+    buckets: dict[str, CoordinatorBucket] = field(default_factory=dict)
 
     def is_ready(self, now: Millis) -> bool:
         """Return whether all older rights have ended."""
@@ -48,7 +48,7 @@
             not self.is_ready(now) and self.take_over is not None and self.take_over.is_asking(now)
         )
 
-    def get_bucket(self, customer: Customer, now: Millis) -> HomeBucket:
+    def get_bucket(self, customer: Customer, now: Millis) -> CoordinatorBucket:
         """Return a customer's bucket with the rate and burst now in force."""
         allowance = find_home_allowance(customer)
         part = self.find_part(now)
@@ -56,7 +56,9 @@
         bucket = self.buckets.get(customer.name)
         if bucket is None:
             level = allowance.burst if self.epoch == FIRST_EPOCH else 0.0
-            bucket = self.buckets[customer.name] = HomeBucket(allowance, self.ready_at, level)
+            bucket = self.buckets[customer.name] = CoordinatorBucket(
+                allowance, self.ready_at, level
+            )
         if part < 1 and self.take_over is None:
             # Refill at the full rate must end where the store right did, not at the first request
             # after it: from there on a successor may already spend the reserve.
@@ -127,7 +129,7 @@
             return HomeAnswer(1)
         return HomeAnswer(0, bucket.get_retry_after(now))
 
-    def lend(
+    def grant_tokens(
         self,
         customer: Customer,
         session_id: str,
@@ -145,7 +147,7 @@
             return refused
         bucket = home.get_bucket(customer, now)
         bucket.report(session_id, reports, now)
-        granted = bucket.lend(session_id, number, want, now)
+        granted = bucket.grant_tokens(session_id, number, want, now)
         return HomeAnswer(granted, bucket.get_retry_after(now))
 
     def renounce(
--- a/goldcreststair/components/limits/fleet.py
+++ b/goldcreststair/components/limits/fleet.py
@@ -224,7 +224,9 @@
         if customer is not None:
             reports = messages.decode_reports(message)
             now = self._clock.now()
-            answer = self._homes.lend(customer, sender, message.number, message.want, reports, now)
+            answer = self._homes.grant_tokens(
+                customer, sender, message.number, message.want, reports, now
+            )
         if answer is None:
             owner = self._find_owner(message.customer)
             other = owner if owner != self._core.session_id else None
--- a/goldcreststair/components/limits/static_share.py
+++ b/goldcreststair/components/limits/static_share.py
@@ -3,7 +3,7 @@
 from goldcreststair.clock import Millis
 from goldcreststair.components.configuration.models import Customer
 from goldcreststair.components.limits.const import FIRST_SLOTS, FIRST_SLOTS_PART, STATIC_FRACTION
-from goldcreststair.components.limits.coordinator_bucket import HomeBucket
+from goldcreststair.components.limits.coordinator_bucket import CoordinatorBucket
 from goldcreststair.components.limits.models import Allowance
 
 
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         """Start with no slot."""
         self._slot = -1
-        self._bucket: HomeBucket | None = None
+        self._bucket: CoordinatorBucket | None = None
 
     def spend(self, customer: Customer, slot: int, now: Millis) -> bool:
         """Take one token if this VM's slot has any."""
@@ -50,6 +50,6 @@
         allowance = Allowance(customer.rate_per_s * part, customer.burst * part)
         if self._bucket is None or slot != self._slot:
             # The slot's last holder may have spent its whole share just now: start empty.
-            self._bucket, self._slot = HomeBucket(allowance, now), slot
+            self._bucket, self._slot = CoordinatorBucket(allowance, now), slot
         self._bucket.change(allowance, now)
         return self._bucket.spend(now)
--- a/standins/measure/capacity.py
+++ b/standins/measure/capacity.py
@@ -13,10 +13,10 @@
 from goldcreststair.components.batch.records import encode_record as encode_batch
 from goldcreststair.components.claims.codec import encode_record as encode_claim
 from goldcreststair.components.claims.models import ClaimRecord, ClaimState, StoredOutcome
-from goldcreststair.components.configuration.decoding_cache import DecodingMemory
+from goldcreststair.components.configuration.decoding_cache import DecodingCache
 from goldcreststair.components.configuration.document import decode_document, merge_patch
 from goldcreststair.components.configuration.models import CONFIGURATION, Objective
-from goldcreststair.components.limits.coordinator_bucket import HomeBucket
+from goldcreststair.components.limits.coordinator_bucket import CoordinatorBucket
 from goldcreststair.components.limits.models import Allowance
 from goldcreststair.components.routing.controller import AffinityRouter
 from goldcreststair.components.routing.protocols import RouteQuery
@@ -89,7 +89,7 @@
 def measure_configuration() -> list[UnitCost]:
     """Measure decoding and holding the whole configuration, and taking one patch of it."""
     document = make_document(ENGINES)
-    memory = DecodingMemory()
+    memory = DecodingCache()
     decode_document(1, document, memory).unwrap()
 
     def patch_many() -> None:
@@ -126,10 +126,10 @@
 def measure_home() -> UnitCost:
     """Measure one loan at a customer's home and its report."""
 
-    def lend_many() -> HomeBucket:
-        bucket = HomeBucket(Allowance(150.0, 300.0), Millis(0), 300.0)
+    def lend_many() -> CoordinatorBucket:
+        bucket = CoordinatorBucket(Allowance(150.0, 300.0), Millis(0), 300.0)
         for number in range(REPEATS):
-            bucket.lend(f"vm-{number % 12}", number, 1, Millis(number * 20))
+            bucket.grant_tokens(f"vm-{number % 12}", number, 1, Millis(number * 20))
             bucket.report(f"vm-{number % 12}", (), Millis(number * 20))
         return bucket
 
--- a/standins/measure/handover.py
+++ b/standins/measure/handover.py
@@ -18,7 +18,7 @@
 from goldcreststair.components.claims.protocols import CLAIMS, ClaimRequest
 from goldcreststair.components.configuration.models import CONFIGURATION, Customer
 from goldcreststair.components.ledger.protocols import LEDGER
-from goldcreststair.components.limits.coordinator_bucket import HomeBucket
+from goldcreststair.components.limits.coordinator_bucket import CoordinatorBucket
 from goldcreststair.components.limits.models import Allowance
 from goldcreststair.components.limits.protocols import LIMITS
 from goldcreststair.components.membership.models import MemberState
@@ -202,7 +202,9 @@
             await asyncio.wait({closing}, timeout=30)
 
     async def _async_send(self, customer: Customer) -> None:
-        oracle = HomeBucket(Allowance(customer.rate_per_s, customer.burst), self._clock.now(), 40)
+        oracle = CoordinatorBucket(
+            Allowance(customer.rate_per_s, customer.burst), self._clock.now(), 40
+        )
         until = self._clock.now() + RUN_MS[self._event]
         running = []
         while self._clock.now() < until:
--- a/standins/measure/limits.py
+++ b/standins/measure/limits.py
@@ -10,7 +10,7 @@
 
 from goldcreststair.clock import Millis
 from goldcreststair.components.configuration.models import Customer
-from goldcreststair.components.limits.coordinator_bucket import HomeBucket
+from goldcreststair.components.limits.coordinator_bucket import CoordinatorBucket
 from goldcreststair.components.limits.models import Allowance
 from standins.measure.excess import find_excess
 from standins.measure.limit_fleet import LimitFleet
@@ -100,11 +100,11 @@
 def replay_bucket(arrivals: Sequence[Arrival], customer: Customer, parts: int) -> int:
     """Return how many requests pass `parts` equal buckets, one a VM, or one for all."""
     allowance = Allowance(customer.rate_per_s / parts, customer.burst / parts)
-    buckets: dict[str, HomeBucket] = {}
+    buckets: dict[str, CoordinatorBucket] = {}
     passed = 0
     for arrival in arrivals:
         name = arrival.vm if parts > 1 else ""
-        full = HomeBucket(allowance, Millis(0), allowance.burst)
+        full = CoordinatorBucket(allowance, Millis(0), allowance.burst)
         passed += buckets.setdefault(name, full).spend(Millis(arrival.at_ms))
     return passed
 
--- a/tests/components/configuration/test_decoding_cache.py
+++ b/tests/components/configuration/test_decoding_cache.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from result import Err
 
-from goldcreststair.components.configuration.decoding_cache import DecodingMemory
+from goldcreststair.components.configuration.decoding_cache import DecodingCache
 from goldcreststair.components.configuration.document import decode_document, merge_patch
 from tests.helpers.cores import make_document
 
@@ -32,7 +32,7 @@
     A remembered entry that outlived its change would put an old limit in force under a new
     version number, on some VMs only.
     """
-    memory = DecodingMemory()
+    memory = DecodingCache()
     document: Any = make_document(keys={})
     for version, patch in enumerate(patches):
         patched = merge_patch(document, patch)
@@ -43,7 +43,7 @@
 
 
 def test_untouched_entries_are_not_decoded_again() -> None:
-    memory = DecodingMemory()
+    memory = DecodingCache()
     document = make_document()
     before = decode_document(1, document, memory).unwrap()
     patched = merge_patch(document, {"customers": {"acme": {"burst": 7}}})
--- a/tests/components/limits/limit_simulation.py
+++ b/tests/components/limits/limit_simulation.py
@@ -197,7 +197,7 @@
             self.messages.pop(position % len(self.messages))
 
     def _on_ask(self, source: str, vm: Vm, number: int, want: int, reports: Any) -> None:
-        answer = vm.homes.lend(self.customer, source, number, want, reports, self.now(vm))
+        answer = vm.homes.grant_tokens(self.customer, source, number, want, reports, self.now(vm))
         if answer is not None:
             self.messages.append((vm.name, source, ("grant", number, answer.granted)))
 
--- a/tests/components/limits/test_bound.py
+++ b/tests/components/limits/test_bound.py
@@ -11,7 +11,7 @@
 
 from goldcreststair.clock import Millis
 from goldcreststair.components.limits.const import SUPPORT_RIGHT_MS
-from goldcreststair.components.limits.coordinator_bucket import HomeBucket, _Lot
+from goldcreststair.components.limits.coordinator_bucket import CoordinatorBucket, _Lot
 from goldcreststair.components.limits.coordinators import Home
 from goldcreststair.components.limits.granted_tokens import BorrowedBucket
 from goldcreststair.components.limits.lease import HomeRight, TakeOver
@@ -193,19 +193,19 @@
     assert find_worst(300) <= 0
 
 
-def _clip_without_loans(self: HomeBucket) -> None:
+def _clip_without_loans(self: CoordinatorBucket) -> None:
     self._level = min(self._level, self._allowance.burst)
 
 
 def _report_before_refill(
-    self: HomeBucket, session_id: str, reports: Iterable[LotReport], now: Millis
+    self: CoordinatorBucket, session_id: str, reports: Iterable[LotReport], now: Millis
 ) -> None:
     for report in reports:
         self._lots.pop((session_id, report.number), None)
     self._settle(now)
 
 
-def _restore_unspent(self: HomeBucket, held: HeldBucket, now: Millis) -> None:
+def _restore_unspent(self: CoordinatorBucket, held: HeldBucket, now: Millis) -> None:
     self._at, self._level = now, held.level
     for lot in held.lots:
         lapses_at = Millis(now + lot.remaining_ms)
@@ -218,7 +218,7 @@
     ACCEPT(self, number, granted, now)
 
 
-def _get_full_bucket(self: Home, customer: Any, now: Millis) -> HomeBucket:
+def _get_full_bucket(self: Home, customer: Any, now: Millis) -> CoordinatorBucket:
     new = customer.name not in self.buckets
     bucket = GET_BUCKET(self, customer, now)
     if new:
@@ -241,9 +241,9 @@
 @pytest.mark.parametrize(
     ("owner", "name", "fault"),
     [
-        (HomeBucket, "_clip", _clip_without_loans),
-        (HomeBucket, "report", _report_before_refill),
-        (HomeBucket, "restore", _restore_unspent),
+        (CoordinatorBucket, "_clip", _clip_without_loans),
+        (CoordinatorBucket, "report", _report_before_refill),
+        (CoordinatorBucket, "restore", _restore_unspent),
         (BorrowedBucket, "accept", _accept_from_arrival),
         (Home, "get_bucket", _get_full_bucket),
         (HomeRight, "find_end", lambda self, confirmed_at: Millis(1 << 50)),
