--- a/goldcreststair/components/limits/__init__.py
+++ b/goldcreststair/components/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Rates and bursts that hold over all VMs together."""
+"""Rate limits of customers, enforced over all VMs together."""
 
 import logging
 
@@ -14,18 +14,18 @@
 
 
 async def async_setup(core: Core) -> Component:
-    """Set up the limits; without peers, ledger and members they hold on this VM alone."""
+    """Set up the limits; without peers, ledger and members each VM enforces them by itself."""
     limits: FleetLimits | LocalLimits
-    if _knows_fleet(core):
+    if _has_fleet(core):
         limits = FleetLimits(core)
     else:
-        _LOGGER.warning("Limits hold on this VM alone: no peers, ledger or members")
+        _LOGGER.warning("Limits are enforced on this VM only: no peers, ledger or members")
         limits = LocalLimits(core)
     core.offer(LIMITS, limits)
     return limits
 
 
-def _knows_fleet(core: Core) -> bool:
+def _has_fleet(core: Core) -> bool:
     try:
         core.get(PEERS)
         core.get(LEDGER)
--- a/goldcreststair/components/limits/const.py
+++ b/goldcreststair/components/limits/const.py
@@ -1,54 +1,62 @@
-"""Times and sizes of limits; docs/design/limits.md has the proof that rests on them."""
+"""Times and sizes of limits; the proof in docs/design/limits.md depends on them."""
 
 from typing import Final
 
-STORE_RIGHT_MS: Final = 12_000
-"""How long a home without supporters may spend after a store call confirmed it."""
-SUPPORT_RIGHT_MS: Final = 5_000
-"""How long a home with supporters may spend after they or the store confirmed it."""
-LOT_LIFETIME_MS: Final = 2_000
-"""How long a borrower may spend a lot, counted from when it asked."""
-SUPPORTED_LIMIT_MS: Final = 420_000
-"""How long a home may live on its supporters alone."""
-RESERVE: Final = 0.1
-"""Part that such a home leaves to a successor that cannot hear of its supporters."""
+STORE_LEASE_MS: Final = 12_000
+"""Lease of a coordinator without supporters, from its last confirmation by the store."""
+SUPPORT_LEASE_MS: Final = 5_000
+"""Lease of a coordinator with supporters, from its last confirmation by them or the store."""
+GRANT_LIFETIME_MS: Final = 2_000
+"""How long a VM may spend the tokens of a grant, from when it sent the request."""
+MAX_SUPPORTED_MS: Final = 420_000
+"""How long supporters may extend a lease without a confirmation by the store."""
+SUCCESSOR_RESERVE: Final = 0.1
+"""Fraction of a limit that such a coordinator leaves unused.
+
+A successor that cannot reach the supporters may use it.
+"""
 SUPPORT_INTERVAL_MS: Final = 1_000
 SUPPORT_AFTER_MS: Final = 1_500
-"""Age of the last store confirmation at which a home turns to its supporters."""
+"""Age of the last confirmation by the store at which a coordinator asks its supporters."""
 SUPPORTERS: Final = 3
 MARGIN_DIVISOR: Final = 50
-"""Observers of another clock wait a fiftieth longer: two clocks drifting 1% apart each."""
+"""A wait for a time on another VM's clock is a fiftieth longer, as each clock may drift by 1%."""
 MARGIN_MS: Final = 100
 
-ASK_INTERVAL_MS: Final = 100
-ASK_TIMEOUT_MS: Final = 500
-"""How long a home may be silent before an ask counts as unanswered."""
-LOOK_MS: Final = 50
-"""How often an ask without an answer is looked at."""
-LATE_LOOK_MS: Final = 40
-"""A look that comes so late means that this process stood still: silence is counted anew."""
+REQUEST_INTERVAL_MS: Final = 100
+REQUEST_TIMEOUT_MS: Final = 500
+"""How long a coordinator may be silent before a token request counts as unanswered."""
+CHECK_INTERVAL_MS: Final = 50
+"""Time between two checks of an unanswered token request."""
+LATE_CHECK_MS: Final = 40
+"""A check that is later than this means that this process was paused: the timeout starts anew."""
 ADMIT_WAIT_MS: Final = 150
-"""Longest wait of a request for a home that left the last ask unanswered."""
+"""Longest wait of a request for a coordinator that left the last token request unanswered."""
 OWNER_READ_INTERVAL_MS: Final = 1_000
-"""Shortest time between two store reads for one customer's home."""
-HOME_WAIT_MS: Final = 1_500
-"""Longest wait of a request for a home that is slow, or on its way from one VM to another."""
-FIRST_MOVING_ASK_MS: Final = 10
-"""Pause after the first ask that met no home; doubled up to `ASK_INTERVAL_MS`."""
+"""Shortest time between two store reads of one customer's coordinator."""
+COORDINATOR_WAIT_MS: Final = 1_500
+"""Longest wait of a request for a coordinator that is slow or is moving to another VM."""
+FIRST_MOVING_INTERVAL_MS: Final = 10
+"""Delay after the first token request that found no coordinator.
+
+It doubles up to `REQUEST_INTERVAL_MS`.
+"""
 PREDECESSOR_WAIT_MS: Final = 300
-"""How long a new home lets requests wait for its predecessor's buckets before it refuses."""
+"""How long a new coordinator lets requests wait for the buckets of its predecessor."""
 UNREACHABLE_RETRY_MS: Final = 300
 PREFETCH_MS: Final = 200
 DEMAND_WINDOW_MS: Final = 1_000
 REPORT_INTERVAL_MS: Final = 300
 IDLE_RETURN_MS: Final = 400
-QUESTION_TIMEOUT_MS: Final = 500
-QUESTION_INTERVAL_MS: Final = 1_000
+PEER_TIMEOUT_MS: Final = 500
+RENOUNCE_INTERVAL_MS: Final = 1_000
 COMMIT_TIMEOUT_MS: Final = 5_000
 
 STATIC_FRACTION: Final = 0.1
+"""Fraction of a limit that is divided statically among the slots of all VMs."""
 FIRST_SLOTS: Final = 16
-FIRST_SLOTS_PART: Final = 0.75
+FIRST_SLOTS_FRACTION: Final = 0.75
+"""Fraction of the static share that belongs to the first slots."""
 
 SUPPORTERS_RECORD: Final = "limits/supporters"
 
--- a/goldcreststair/components/limits/coordinator_bucket.py
+++ b/goldcreststair/components/limits/coordinator_bucket.py
@@ -1,18 +1,23 @@
-"""The bucket that a customer's home keeps: its level and the tokens it has lent."""
+"""Token bucket of one customer at its coordinator: the level and the granted tokens."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
 from goldcreststair.clock import Millis
-from goldcreststair.components.limits.const import LOT_LIFETIME_MS, wait_out
-from goldcreststair.components.limits.models import Allowance, HeldBucket, HeldLot, LotReport
+from goldcreststair.components.limits.const import GRANT_LIFETIME_MS, wait_out
+from goldcreststair.components.limits.models import (
+    Allowance,
+    BucketSnapshot,
+    GrantReport,
+    GrantSnapshot,
+)
 from goldcreststair.const import MS_PER_SECOND
 
 
 @dataclass(slots=True)
-class _Lot:
+class _Grant:
     amount: int
-    lapses_at: Millis
+    expires_at: Millis
     spent: int = 0
 
     @property
@@ -21,95 +26,101 @@
 
 
 class CoordinatorBucket:
-    """Keeps level + tokens lent within the burst at every moment; times are the home's own."""
+    """Keeps level + unspent granted tokens within the burst; all times are the coordinator's own."""
 
     def __init__(self, allowance: Allowance, now: Millis, level: float = 0.0) -> None:
-        """Start at `level`, refilling from `now`."""
+        """Create a bucket at `level` that refills from `now` on."""
         self._allowance = allowance
         self._level = level
-        self._at = now
-        self._lots: dict[tuple[str, int], _Lot] = {}
+        self._refilled_at = now
+        self._grants: dict[tuple[str, int], _Grant] = {}
 
     def change(self, allowance: Allowance, now: Millis) -> None:
-        """Take a new rate and burst; what is lent stays counted."""
+        """Apply a new rate and burst; granted tokens stay counted."""
         if allowance != self._allowance:
-            self._settle(now)
+            self._advance(now)
             self._allowance = allowance
             self._clip()
 
     def spend(self, now: Millis) -> bool:
-        """Take one token for a request at the home itself."""
-        self._settle(now)
+        """Spend one token for a request on the coordinator's own VM; returns whether there was one."""
+        self._advance(now)
         if self._level < 1:
             return False
         self._level -= 1
         return True
 
-    def grant_tokens(self, session_id: str, number: int, want: int, now: Millis) -> int:
-        """Lend up to `want` tokens as lot `number`; an ask seen before gets nothing."""
-        self._settle(now)
+    def grant_tokens(self, session_id: str, number: int, wanted: int, now: Millis) -> int:
+        """Grant up to `wanted` tokens as grant `number`; a repeated request gets 0."""
+        self._advance(now)
         key = (session_id, number)
-        amount = min(want, int(self._level))
-        if amount < 1 or key in self._lots:
+        amount = min(wanted, int(self._level))
+        if amount < 1 or key in self._grants:
             return 0
         self._level -= amount
-        lapses_at = Millis(now + wait_out(LOT_LIFETIME_MS))
-        self._lots[key] = _Lot(amount, lapses_at)
+        expires_at = Millis(now + wait_out(GRANT_LIFETIME_MS))
+        self._grants[key] = _Grant(amount, expires_at)
         return amount
 
-    def report(self, session_id: str, reports: Iterable[LotReport], now: Millis) -> None:
-        """Take in what a borrower says of its lots; late and repeated reports do no harm."""
-        # Refill first, while the tokens still count as lent. Otherwise a lot spent just now would
-        # make room for refill of the time before: both would be spent in one window.
-        self._settle(now)
+    def report(self, session_id: str, reports: Iterable[GrantReport], now: Millis) -> None:
+        """Apply a VM's reports on its grants; late and repeated reports are harmless."""
+        # Refill first, while the tokens still count as granted. Otherwise a grant spent just now
+        # would make room for the refill of earlier time, and both would be spent in one window.
+        self._advance(now)
         for report in reports:
             key = (session_id, report.number)
-            lot = self._lots.get(key)
-            if lot is None:
+            grant = self._grants.get(key)
+            if grant is None:
                 continue
-            lot.spent = min(lot.amount, max(lot.spent, report.spent))
+            grant.spent = min(grant.amount, max(grant.spent, report.spent))
             if report.finished:
-                self._level += lot.unspent
-                del self._lots[key]
+                self._level += grant.unspent
+                del self._grants[key]
         self._clip()
 
     def get_retry_after(self, now: Millis) -> int:
-        """Return the milliseconds until a token may be there."""
-        self._settle(now)
+        """Return the time in ms until a token may be available."""
+        self._advance(now)
         missing = max(0.0, 1 - self._level)
         return int(missing / self._allowance.rate_per_s * MS_PER_SECOND) + 1
 
-    def hold(self, now: Millis) -> HeldBucket:
-        """Return what a new home must know."""
-        self._settle(now)
-        lots = (
-            HeldLot(session, number, lot.amount, lot.spent, lot.lapses_at - now)
-            for (session, number), lot in self._lots.items()
+    def take_snapshot(self, now: Millis) -> BucketSnapshot:
+        """Return the state that a new coordinator needs."""
+        self._advance(now)
+        grants = (
+            GrantSnapshot(session, number, grant.amount, grant.spent, grant.expires_at - now)
+            for (session, number), grant in self._grants.items()
         )
-        return HeldBucket(self._level, tuple(lots))
-
-    def restore(self, held: HeldBucket, now: Millis) -> None:
-        """Go on with what the old home held."""
-        self._at = now
-        self._level = held.level
-        for lot in held.lots:
-            lapses_at = Millis(now + wait_out(lot.remaining_ms))
-            self._lots[(lot.session_id, lot.number)] = _Lot(lot.amount, lapses_at, lot.spent)
+        return BucketSnapshot(self._level, tuple(grants))
+
+    def restore(self, snapshot: BucketSnapshot, now: Millis) -> None:
+        """Continue from the state of the old coordinator's bucket."""
+        self._refilled_at = now
+        self._level = snapshot.level
+        for grant in snapshot.grants:
+            expires_at = Millis(now + wait_out(grant.remaining_ms))
+            self._grants[(grant.session_id, grant.number)] = _Grant(
+                grant.amount, expires_at, grant.spent
+            )
         self._clip()
 
-    def _settle(self, now: Millis) -> None:
-        lapsed = [(lot.lapses_at, key) for key, lot in self._lots.items() if lot.lapses_at <= now]
-        for lapses_at, key in sorted(lapsed):
-            self._refill(lapses_at)
-            del self._lots[key]
+    def _advance(self, now: Millis) -> None:
+        expired = [
+            (grant.expires_at, key)
+            for key, grant in self._grants.items()
+            if grant.expires_at <= now
+        ]
+        for expires_at, key in sorted(expired):
+            self._refill(expires_at)
+            del self._grants[key]
         self._refill(now)
 
     def _refill(self, until: Millis) -> None:
-        gained = max(0, until - self._at) * self._allowance.rate_per_s / MS_PER_SECOND
+        gained = max(0, until - self._refilled_at) * self._allowance.rate_per_s / MS_PER_SECOND
         self._level += gained
-        self._at = Millis(max(self._at, until))
+        self._refilled_at = Millis(max(self._refilled_at, until))
         self._clip()
 
     def _clip(self) -> None:
-        lent = sum(lot.unspent for lot in self._lots.values())
-        self._level = max(0.0, min(self._level, self._allowance.burst - lent))
+        granted = sum(grant.unspent for grant in self._grants.values())
+        self._level = max(0.0, min(self._level, self._allowance.burst - granted))
--- a/goldcreststair/components/limits/coordinator_tasks.py
+++ b/goldcreststair/components/limits/coordinator_tasks.py
@@ -1,4 +1,4 @@
-"""Carries out what a home needs of others: questions after a take-over, supporters in an outage."""
+"""Messages of a coordinator to other VMs: after a takeover and while the store is away."""
 
 import asyncio
 import hashlib
@@ -14,15 +14,19 @@
 from goldcreststair.components.limits import messages
 from goldcreststair.components.limits.const import (
     COMMIT_TIMEOUT_MS,
-    QUESTION_INTERVAL_MS,
-    QUESTION_TIMEOUT_MS,
-    STORE_RIGHT_MS,
+    PEER_TIMEOUT_MS,
+    RENOUNCE_INTERVAL_MS,
+    STORE_LEASE_MS,
     SUPPORT_AFTER_MS,
     SUPPORT_INTERVAL_MS,
     SUPPORTERS,
     SUPPORTERS_RECORD,
 )
-from goldcreststair.components.limits.coordinators import Home, Homes, find_customer_index
+from goldcreststair.components.limits.coordinators import (
+    Coordinator,
+    Coordinators,
+    find_customer_index,
+)
 from goldcreststair.components.membership.models import MEMBERS, MemberState
 from goldcreststair.components.peers.protocols import PeerLinks, PeerMessage
 from goldcreststair.core import Core
@@ -32,14 +36,16 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-class HomeTasks:
-    """Asks members to renounce older epochs, and supporters to extend a home's right."""
+class CoordinatorTasks:
+    """Asks members to renounce older epochs, and supporters to extend a coordinator's lease."""
 
-    def __init__(self, core: Core, homes: Homes, ledger: Ledger, peers: PeerLinks) -> None:
+    def __init__(
+        self, core: Core, coordinators: Coordinators, ledger: Ledger, peers: PeerLinks
+    ) -> None:
         """Register the messages; nothing runs yet."""
         self._core = core
         self._clock = core.clock
-        self._homes = homes
+        self._coordinators = coordinators
         self._ledger = ledger
         self._peers = peers
         self._tasks: set[asyncio.Task[None]] = set()
@@ -49,12 +55,12 @@
         peers.register(messages.NUMBER_SUPPORTED, ttypes.Supported, None)
 
     def start(self) -> None:
-        """Follow the ledger and look after the homes."""
+        """Follow the ledger and begin to maintain the leases of the coordinators."""
         self._ledger.watch(self._on_gained, lambda index: None)
-        self._spawn(self._async_look_after())
+        self._spawn(self._async_maintain_leases())
 
     async def async_close(self) -> None:
-        """Stop everything."""
+        """Cancel all tasks and wait for their end."""
         for task in tuple(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -69,36 +75,41 @@
         return [c for c in customers if find_customer_index(self._ledger, c.name) == index]
 
     def _on_gained(self, partition: Partition) -> None:
-        home = self._homes.gain(partition, self._clock.now())
-        if home.take_over is not None:
-            self._spawn(self._async_take_over(home))
+        coordinator = self._coordinators.gain(partition, self._clock.now())
+        if coordinator.takeover is not None:
+            self._spawn(self._async_take_over(coordinator))
 
-    async def _async_take_over(self, home: Home) -> None:
+    async def _async_take_over(self, coordinator: Coordinator) -> None:
         answered: set[str] = set()
-        while not home.is_ready(self._clock.now()) and home in self._homes.find_owned():
-            take_over = home.take_over
+        while (
+            not coordinator.is_ready(self._clock.now())
+            and coordinator in self._coordinators.find_owned()
+        ):
+            takeover = coordinator.takeover
             members = self._core.blackboard.read(MEMBERS).by_session
-            targets = (set(members) | take_over.unheard if take_over else set()) - answered
-            heard = await asyncio.gather(*(self._async_ask_one(home, s) for s in sorted(targets)))
-            answered.update(session for session in heard if session)
-            await self._clock.async_sleep(QUESTION_INTERVAL_MS)
-
-    async def _async_ask_one(self, home: Home, session_id: str) -> str:
-        index = home.partition.index
-        message = ttypes.Renounce(index, home.epoch)
+            targets = (set(members) | takeover.not_renounced if takeover else set()) - answered
+            answered_now = await asyncio.gather(
+                *(self._async_request_renounce(coordinator, s) for s in sorted(targets))
+            )
+            answered.update(session for session in answered_now if session)
+            await self._clock.async_sleep(RENOUNCE_INTERVAL_MS)
+
+    async def _async_request_renounce(self, coordinator: Coordinator, session_id: str) -> str:
+        index = coordinator.partition.index
+        message = ttypes.Renounce(index, coordinator.epoch)
         if session_id == self._core.session_id:
             answer = await self._async_on_renounce(session_id, message)
         else:
-            asked = await self._peers.async_request(session_id, message, QUESTION_TIMEOUT_MS)
-            if not isinstance(asked, Ok):
+            reply = await self._peers.async_request(session_id, message, PEER_TIMEOUT_MS)
+            if not isinstance(reply, Ok):
                 return ""
-            answer = asked.ok_value
+            answer = reply.ok_value
         now = self._clock.now()
-        if home.take_over is not None:
-            home.take_over.renounce(session_id, now)
-        if answer.held_epoch == home.epoch - 1:
-            held = messages.decode_held(answer)
-            self._homes.restore(home, held, self._find_customers(index), now)
+        if coordinator.takeover is not None:
+            coordinator.takeover.renounce(session_id, now)
+        if answer.held_epoch == coordinator.epoch - 1:
+            snapshots = messages.decode_snapshots(answer)
+            self._coordinators.restore(coordinator, snapshots, self._find_customers(index), now)
             reason = "the old home handed over its buckets"
             self._core.journal.record(Subject.PARTITION, str(index), "limits ready", reason)
         return session_id
@@ -106,30 +117,34 @@
     async def _async_on_renounce(self, sender: str, message: PeerMessage) -> PeerMessage:
         customers = self._find_customers(message.partition)
         now = self._clock.now()
-        epoch, held = self._homes.renounce(message.partition, message.epoch, customers, now)
-        return messages.encode_held(epoch, held)
+        epoch, snapshots = self._coordinators.renounce(
+            message.partition, message.epoch, customers, now
+        )
+        return messages.encode_snapshots(epoch, snapshots)
 
     async def _async_on_support(self, sender: str, message: PeerMessage) -> PeerMessage:
-        return ttypes.Supported(self._homes.may_support(message.partition, message.epoch))
+        return ttypes.Supported(self._coordinators.may_support(message.partition, message.epoch))
 
-    async def _async_look_after(self) -> None:
+    async def _async_maintain_leases(self) -> None:
         while True:
-            for home in self._homes.find_owned():
-                if home.is_ready(self._clock.now()) and self._find_customers(home.partition.index):
-                    self._look_after(home)
+            for coordinator in self._coordinators.find_owned():
+                if coordinator.is_ready(self._clock.now()) and self._find_customers(
+                    coordinator.partition.index
+                ):
+                    self._maintain_lease(coordinator)
             await self._clock.async_sleep(SUPPORT_INTERVAL_MS)
 
-    def _look_after(self, home: Home) -> None:
-        age = self._clock.now() - home.partition.confirmed_at
+    def _maintain_lease(self, coordinator: Coordinator) -> None:
+        age = self._clock.now() - coordinator.partition.confirmed_at
         if age >= SUPPORT_AFTER_MS:
-            for session_id in home.right.supporters:
-                self._spawn(self._async_ask_support(home, session_id))
-        supporters = home.right.wanted
+            for session_id in coordinator.lease.supporters:
+                self._spawn(self._async_request_support(coordinator, session_id))
+        newest = coordinator.lease.newest_supporters
         serving = self._find_serving()
-        wanted = min(SUPPORTERS, len(serving))
-        stale = len(supporters) < wanted or not supporters <= set(serving)
-        if stale and wanted and age < STORE_RIGHT_MS and not home.writing:
-            self._spawn(self._async_write_supporters(home, serving))
+        wanted_count = min(SUPPORTERS, len(serving))
+        stale = len(newest) < wanted_count or not newest <= set(serving)
+        if stale and wanted_count and age < STORE_LEASE_MS and not coordinator.writing_supporters:
+            self._spawn(self._async_write_supporters(coordinator, serving))
 
     def _find_serving(self) -> dict[str, str]:
         """Return the data centre of every other serving member."""
@@ -140,46 +155,52 @@
             if member.state is MemberState.SERVING and session_id != self._core.session_id
         }
 
-    async def _async_ask_support(self, home: Home, session_id: str) -> None:
-        asked_at = self._clock.now()
-        message = ttypes.SupportAsk(home.partition.index, home.epoch)
-        answer = await self._peers.async_request(session_id, message, QUESTION_TIMEOUT_MS)
+    async def _async_request_support(self, coordinator: Coordinator, session_id: str) -> None:
+        requested_at = self._clock.now()
+        message = ttypes.SupportAsk(coordinator.partition.index, coordinator.epoch)
+        answer = await self._peers.async_request(session_id, message, PEER_TIMEOUT_MS)
         if isinstance(answer, Ok) and answer.ok_value.granted:
-            home.right.support(session_id, asked_at)
+            coordinator.lease.record_support(session_id, requested_at)
 
-    async def _async_write_supporters(self, home: Home, serving: Mapping[str, str]) -> None:
-        index = home.partition.index
+    async def _async_write_supporters(
+        self, coordinator: Coordinator, serving: Mapping[str, str]
+    ) -> None:
+        index = coordinator.partition.index
         chosen = choose_supporters(index, serving, self._core.settings.data_centre)
-        home.writing = True
-        home.right.begin_change(chosen)
+        coordinator.writing_supporters = True
+        coordinator.lease.begin_change(chosen)
         change = Change(SUPPORTERS_RECORD, " ".join(chosen).encode())
         try:
-            written = await home.partition.async_commit([change], COMMIT_TIMEOUT_MS)
+            written = await coordinator.partition.async_commit([change], COMMIT_TIMEOUT_MS)
         finally:
-            home.writing = False
+            coordinator.writing_supporters = False
         if isinstance(written, Ok):
-            home.right.end_change(written=True)
+            coordinator.lease.end_change(written=True)
         elif isinstance(written.err_value, CommitRefused):
-            home.right.end_change(written=False)
+            coordinator.lease.end_change(written=False)
+
 
+def choose_supporters(
+    index: int, members: Mapping[str, str], own_data_centre: str
+) -> tuple[str, ...]:
+    """Return up to `SUPPORTERS` sessions, spread over data centres.
 
-def choose_supporters(index: int, members: Mapping[str, str], home_centre: str) -> tuple[str, ...]:
-    """Return a few sessions, spread over data centres and stable as long as they are there.
+    The choice is stable as long as the chosen sessions remain members.
 
     >>> choose_supporters(0, {"a": "x", "b": "y", "c": "z", "d": "x"}, "x")[:2] in (
     ...     ("b", "c"), ("c", "b"))
     True
     """
 
-    def weigh(session_id: str) -> bytes:
+    def rank(session_id: str) -> bytes:
         return hashlib.sha256(f"{index}/{session_id}".encode()).digest()
 
-    # Losing a data centre must not take the home and the majority of its supporters at once.
-    used = Counter({home_centre: 1})
+    # The loss of a data centre must not take the coordinator and most supporters at once.
+    used = Counter({own_data_centre: 1})
     chosen: list[str] = []
     for _ in range(min(SUPPORTERS, len(members))):
         rest = [session_id for session_id in members if session_id not in chosen]
-        best = min(rest, key=lambda session_id: (used[members[session_id]], weigh(session_id)))
+        best = min(rest, key=lambda session_id: (used[members[session_id]], rank(session_id)))
         chosen.append(best)
         used[members[best]] += 1
     return tuple(chosen)
--- a/goldcreststair/components/limits/coordinators.py
+++ b/goldcreststair/components/limits/coordinators.py
@@ -1,4 +1,4 @@
-"""The partitions whose customers this VM is home of: buckets, rights and take-overs."""
+"""Coordinators on this VM, one per owned partition: buckets, leases and takeovers."""
 
 from dataclasses import dataclass, field
 
@@ -7,181 +7,203 @@
 from goldcreststair.components.ledger.protocols import Ledger, Partition
 from goldcreststair.components.limits.const import (
     FIRST_EPOCH,
-    RESERVE,
-    STORE_RIGHT_MS,
+    STORE_LEASE_MS,
+    SUCCESSOR_RESERVE,
     SUPPORTERS_RECORD,
 )
 from goldcreststair.components.limits.coordinator_bucket import CoordinatorBucket
-from goldcreststair.components.limits.lease import HomeRight, TakeOver
-from goldcreststair.components.limits.models import Allowance, HeldBucket, HomeAnswer, LotReport
-from goldcreststair.components.limits.static_share import find_home_allowance
+from goldcreststair.components.limits.lease import CoordinatorLease, Takeover
+from goldcreststair.components.limits.models import (
+    Allowance,
+    BucketSnapshot,
+    GrantReport,
+    GrantResult,
+)
+from goldcreststair.components.limits.static_share import find_coordinator_allowance
 
-RIGHT_LAPSED_RETRY_MS = 1000
+LEASE_EXPIRED_RETRY_MS = 1000
 NO_EPOCH = -1
 
 
 @dataclass(slots=True)
-class Home:
-    """One partition in one epoch."""
+class Coordinator:
+    """Coordinator of the customers of one partition in one epoch."""
 
     partition: Partition
     epoch: int
     ready_at: Millis
-    take_over: TakeOver | None
-    right: HomeRight
-    writing: bool = False
-    """Whether a new set of supporters is on its way to the store."""
+    takeover: Takeover | None
+    lease: CoordinatorLease
+    writing_supporters: bool = False
+    """Whether a write of a new set of supporters is in progress."""
     buckets: dict[str, CoordinatorBucket] = field(default_factory=dict)
 
     def is_ready(self, now: Millis) -> bool:
-        """Return whether all older rights have ended."""
-        if self.take_over is not None and now >= self.take_over.find_end():
-            self.ready_at = self.take_over.find_end()
-            self.take_over = None
-        return self.take_over is None
+        """Return whether all older leases have ended."""
+        if self.takeover is not None and now >= self.takeover.find_end():
+            self.ready_at = self.takeover.find_end()
+            self.takeover = None
+        return self.takeover is None
 
-    def is_settling(self, now: Millis) -> bool:
+    def is_awaiting_predecessor(self, now: Millis) -> bool:
         """Return whether a request should wait for the predecessor's buckets."""
-        # In a planned change they come within milliseconds. Refused meanwhile, a caller would be
-        # told to come back after the whole wait for a lost home.
+        # In a planned change they arrive within milliseconds. A refusal meanwhile would tell the
+        # caller to retry only after the whole wait for a lost coordinator.
         return (
-            not self.is_ready(now) and self.take_over is not None and self.take_over.is_asking(now)
+            not self.is_ready(now)
+            and self.takeover is not None
+            and self.takeover.is_predecessor_expected(now)
         )
 
     def get_bucket(self, customer: Customer, now: Millis) -> CoordinatorBucket:
-        """Return a customer's bucket with the rate and burst now in force."""
-        allowance = find_home_allowance(customer)
-        part = self.find_part(now)
-        allowance = Allowance(allowance.rate_per_s * part, allowance.burst * part)
+        """Return a customer's bucket with the current rate and burst."""
+        allowance = find_coordinator_allowance(customer)
+        fraction = self.find_usable_fraction(now)
+        allowance = Allowance(allowance.rate_per_s * fraction, allowance.burst * fraction)
         bucket = self.buckets.get(customer.name)
         if bucket is None:
             level = allowance.burst if self.epoch == FIRST_EPOCH else 0.0
             bucket = self.buckets[customer.name] = CoordinatorBucket(
                 allowance, self.ready_at, level
             )
-        if part < 1 and self.take_over is None:
-            # Refill at the full rate must end where the store right did, not at the first request
-            # after it: from there on a successor may already spend the reserve.
-            lapsed_at = Millis(self.partition.confirmed_at + STORE_RIGHT_MS)
-            bucket.change(allowance, min(now, lapsed_at))
+        if fraction < 1 and self.takeover is None:
+            # Refill at the full rate must end when the store lease expired, not at the first
+            # request after it: from then on a successor may already spend the reserve.
+            expired_at = Millis(self.partition.confirmed_at + STORE_LEASE_MS)
+            bucket.change(allowance, min(now, expired_at))
         bucket.change(allowance, now)
         return bucket
 
-    def find_part(self, now: Millis) -> float:
-        """Return the part of rate and burst that this home may use now."""
+    def find_usable_fraction(self, now: Millis) -> float:
+        """Return the fraction of rate and burst that this coordinator may use now."""
         if self.is_ready(now):
-            return self.right.find_part(self.partition.confirmed_at, now)
-        assert self.take_over is not None
-        self.ready_at = self.take_over.find_reserve_start()
-        return RESERVE if now >= self.ready_at else 0.0
+            return self.lease.find_usable_fraction(self.partition.confirmed_at, now)
+        assert self.takeover is not None
+        self.ready_at = self.takeover.find_reserve_start()
+        return SUCCESSOR_RESERVE if now >= self.ready_at else 0.0
 
 
 def find_customer_index(ledger: Ledger, name: str) -> int:
-    """Return the partition whose owner is a customer's home."""
+    """Return the index of the partition whose owner is a customer's coordinator."""
     return ledger.find_index(f"customer/{name}")
 
 
-class Homes:
-    """Decides as home; all times are this VM's."""
+class Coordinators:
+    """Spends and grants tokens for the owned partitions; all times are this VM's own."""
 
     def __init__(self, ledger: Ledger) -> None:
-        """Start with no partition."""
+        """Create without partitions."""
         self._ledger = ledger
-        self._homes: dict[int, Home] = {}
-        self._fences: dict[int, int] = {}
+        self._coordinators: dict[int, Coordinator] = {}
+        self._min_epochs: dict[int, int] = {}
+        """Lowest epoch of each partition that this VM has not renounced."""
 
-    def gain(self, partition: Partition, now: Millis) -> Home:
-        """Begin to be home for a partition's customers."""
-        known = self._homes.get(partition.index)
+    def gain(self, partition: Partition, now: Millis) -> Coordinator:
+        """Begin to coordinate the customers of a partition."""
+        known = self._coordinators.get(partition.index)
         if known is not None and known.epoch == partition.epoch:
             return known
-        take_over = None
+        takeover = None
         record = partition.get(SUPPORTERS_RECORD) or b""
         if partition.epoch > FIRST_EPOCH:
-            take_over = TakeOver(record.decode().split(), now)
-        right = HomeRight(recorded=bool(record))
-        home = Home(partition, partition.epoch, now, take_over, right)
-        self._homes[partition.index] = home
-        return home
-
-    def find_owned(self) -> list[Home]:
-        """Return the homes this VM still owns."""
-        return [home for index in self._homes if (home := self.find(index)) is not None]
-
-    def find(self, index: int) -> Home | None:
-        """Return a home that is this VM's by the ledger and by what it has renounced."""
+            takeover = Takeover(record.decode().split(), now)
+        lease = CoordinatorLease(recorded=bool(record))
+        coordinator = Coordinator(partition, partition.epoch, now, takeover, lease)
+        self._coordinators[partition.index] = coordinator
+        return coordinator
+
+    def find_owned(self) -> list[Coordinator]:
+        """Return the coordinators of partitions that this VM still owns."""
+        return [
+            coordinator
+            for index in self._coordinators
+            if (coordinator := self.find(index)) is not None
+        ]
+
+    def find(self, index: int) -> Coordinator | None:
+        """Return a partition's coordinator; None if not owned or if its epoch was renounced here."""
         partition = self._ledger.get_owned(index)
-        home = self._homes.get(index)
-        if partition is None or home is None or home.epoch != partition.epoch:
+        coordinator = self._coordinators.get(index)
+        if partition is None or coordinator is None or coordinator.epoch != partition.epoch:
             return None
-        return home if self._fences.get(index, NO_EPOCH) <= home.epoch else None
+        return coordinator if self._min_epochs.get(index, NO_EPOCH) <= coordinator.epoch else None
 
-    def spend(self, customer: Customer, now: Millis) -> HomeAnswer | None:
-        """Take one token here; None if the home is elsewhere."""
-        home = self.find(find_customer_index(self._ledger, customer.name))
-        if home is None or home.is_settling(now):
+    def spend(self, customer: Customer, now: Millis) -> GrantResult | None:
+        """Spend one token here; None if the coordinator is elsewhere."""
+        coordinator = self.find(find_customer_index(self._ledger, customer.name))
+        if coordinator is None or coordinator.is_awaiting_predecessor(now):
             return None
-        refused = self._find_obstacle(home, now)
+        refused = self._find_refusal(coordinator, now)
         if refused is not None:
             return refused
-        bucket = home.get_bucket(customer, now)
+        bucket = coordinator.get_bucket(customer, now)
         if bucket.spend(now):
-            return HomeAnswer(1)
-        return HomeAnswer(0, bucket.get_retry_after(now))
+            return GrantResult(1)
+        return GrantResult(0, bucket.get_retry_after(now))
 
     def grant_tokens(
         self,
         customer: Customer,
         session_id: str,
         number: int,
-        want: int,
-        reports: tuple[LotReport, ...],
+        wanted: int,
+        reports: tuple[GrantReport, ...],
         now: Millis,
-    ) -> HomeAnswer | None:
-        """Take in reports and lend tokens; None if the home is elsewhere."""
-        home = self.find(find_customer_index(self._ledger, customer.name))
-        if home is None or home.is_settling(now):
+    ) -> GrantResult | None:
+        """Apply reports and grant tokens; None if the coordinator is elsewhere."""
+        coordinator = self.find(find_customer_index(self._ledger, customer.name))
+        if coordinator is None or coordinator.is_awaiting_predecessor(now):
             return None
-        refused = self._find_obstacle(home, now)
+        refused = self._find_refusal(coordinator, now)
         if refused is not None:
             return refused
-        bucket = home.get_bucket(customer, now)
+        bucket = coordinator.get_bucket(customer, now)
         bucket.report(session_id, reports, now)
-        granted = bucket.grant_tokens(session_id, number, want, now)
-        return HomeAnswer(granted, bucket.get_retry_after(now))
+        granted = bucket.grant_tokens(session_id, number, wanted, now)
+        return GrantResult(granted, bucket.get_retry_after(now))
 
     def renounce(
         self, index: int, epoch: int, customers: list[Customer], now: Millis
-    ) -> tuple[int, dict[str, HeldBucket]]:
-        """End every right older than `epoch`; returns what the epoch before it held here."""
-        self._fences[index] = max(epoch, self._fences.get(index, NO_EPOCH))
-        home = self._homes.get(index)
-        # Only the direct predecessor's buckets are complete, and only after its own wait: an
-        # older home's tokens may have been spent since, which would admit them twice.
-        if home is None or home.epoch != epoch - 1 or not home.is_ready(now):
+    ) -> tuple[int, dict[str, BucketSnapshot]]:
+        """End every lease older than `epoch`; returns the preceding epoch and its buckets here.
+
+        `NO_EPOCH` and no buckets if this VM does not have them completely.
+        """
+        self._min_epochs[index] = max(epoch, self._min_epochs.get(index, NO_EPOCH))
+        coordinator = self._coordinators.get(index)
+        # Only the direct predecessor's buckets are complete, and only after its own wait. Tokens of
+        # an older coordinator may have been spent since and would be admitted twice.
+        if coordinator is None or coordinator.epoch != epoch - 1 or not coordinator.is_ready(now):
             return NO_EPOCH, {}
-        held = {customer.name: home.get_bucket(customer, now).hold(now) for customer in customers}
-        return home.epoch, held
+        snapshots = {
+            customer.name: coordinator.get_bucket(customer, now).take_snapshot(now)
+            for customer in customers
+        }
+        return coordinator.epoch, snapshots
 
     def may_support(self, index: int, epoch: int) -> bool:
         """Return whether no newer epoch of a partition is known here."""
-        return self._fences.get(index, NO_EPOCH) <= epoch
+        return self._min_epochs.get(index, NO_EPOCH) <= epoch
 
     def restore(
-        self, home: Home, held: dict[str, HeldBucket], customers: list[Customer], now: Millis
+        self,
+        coordinator: Coordinator,
+        snapshots: dict[str, BucketSnapshot],
+        customers: list[Customer],
+        now: Millis,
     ) -> None:
-        """End a take-over with what the old home held."""
-        if home.is_ready(now):
+        """End a takeover with the buckets of the old coordinator."""
+        if coordinator.is_ready(now):
             return
-        home.take_over, home.ready_at = None, now
+        coordinator.takeover, coordinator.ready_at = None, now
         for customer in customers:
-            if customer.name in held:
-                home.get_bucket(customer, now).restore(held[customer.name], now)
-
-    def _find_obstacle(self, home: Home, now: Millis) -> HomeAnswer | None:
-        if home.find_part(now) == 0 and home.take_over is not None:
-            start = min(home.take_over.find_end(), home.take_over.find_reserve_start())
-            return HomeAnswer(0, start - now)
-        if now >= home.right.find_end(home.partition.confirmed_at):
-            return HomeAnswer(0, RIGHT_LAPSED_RETRY_MS)
+            if customer.name in snapshots:
+                coordinator.get_bucket(customer, now).restore(snapshots[customer.name], now)
+
+    def _find_refusal(self, coordinator: Coordinator, now: Millis) -> GrantResult | None:
+        if coordinator.find_usable_fraction(now) == 0 and coordinator.takeover is not None:
+            start = min(coordinator.takeover.find_end(), coordinator.takeover.find_reserve_start())
+            return GrantResult(0, start - now)
+        if now >= coordinator.lease.find_end(coordinator.partition.confirmed_at):
+            return GrantResult(0, LEASE_EXPIRED_RETRY_MS)
         return None
--- a/goldcreststair/components/limits/messages.py
+++ b/goldcreststair/components/limits/messages.py
@@ -1,6 +1,6 @@
-"""Turns the limits' messages into models and back."""
+"""Converts the messages of limits to models and back."""
 
-from goldcreststair.components.limits.models import HeldBucket, HeldLot, LotReport
+from goldcreststair.components.limits.models import BucketSnapshot, GrantReport, GrantSnapshot
 from goldcreststair.wire.generated.limits import ttypes
 
 NUMBER_TOKEN_ASK = 20
@@ -11,36 +11,36 @@
 NUMBER_SUPPORTED = 25
 
 
-def encode_reports(reports: tuple[LotReport, ...]) -> list[ttypes.LotReport]:
+def encode_reports(reports: tuple[GrantReport, ...]) -> list[ttypes.LotReport]:
     """Return reports as structs."""
     return [ttypes.LotReport(r.number, r.spent, r.finished) for r in reports]
 
 
-def decode_reports(message: ttypes.TokenAsk) -> tuple[LotReport, ...]:
-    """Return the reports of an ask."""
-    return tuple(LotReport(r.number, r.spent, r.finished) for r in message.reports)
+def decode_reports(message: ttypes.TokenAsk) -> tuple[GrantReport, ...]:
+    """Return the reports in a token request."""
+    return tuple(GrantReport(r.number, r.spent, r.finished) for r in message.reports)
 
 
-def encode_held(epoch: int, held: dict[str, HeldBucket]) -> ttypes.Renounced:
-    """Return what an old home held as a message."""
+def encode_snapshots(epoch: int, snapshots: dict[str, BucketSnapshot]) -> ttypes.Renounced:
+    """Return the buckets that an old coordinator hands over, as a message."""
     buckets = []
-    for customer, bucket in held.items():
+    for customer, bucket in snapshots.items():
         lots = [
-            ttypes.HeldLot(lot.session_id, lot.number, lot.amount, lot.spent, lot.remaining_ms)
-            for lot in bucket.lots
+            ttypes.HeldLot(g.session_id, g.number, g.amount, g.spent, g.remaining_ms)
+            for g in bucket.grants
         ]
         buckets.append(ttypes.HeldBucket(customer, bucket.level, lots))
     return ttypes.Renounced(epoch, buckets)
 
 
-def decode_held(message: ttypes.Renounced) -> dict[str, HeldBucket]:
-    """Return the buckets of an answer, by customer."""
+def decode_snapshots(message: ttypes.Renounced) -> dict[str, BucketSnapshot]:
+    """Return the buckets in a message, by customer."""
     return {bucket.customer: _decode_bucket(bucket) for bucket in message.buckets}
 
 
-def _decode_bucket(bucket: ttypes.HeldBucket) -> HeldBucket:
-    lots = tuple(
-        HeldLot(lot.session_id, lot.number, lot.amount, lot.spent, lot.remaining_ms)
+def _decode_bucket(bucket: ttypes.HeldBucket) -> BucketSnapshot:
+    grants = tuple(
+        GrantSnapshot(lot.session_id, lot.number, lot.amount, lot.spent, lot.remaining_ms)
         for lot in bucket.lots
     )
-    return HeldBucket(bucket.level, lots)
+    return BucketSnapshot(bucket.level, grants)
--- a/goldcreststair/components/limits/models.py
+++ b/goldcreststair/components/limits/models.py
@@ -1,11 +1,11 @@
-"""Lots of lent tokens, what is said of them, and what a home hands over."""
+"""Token grants, the reports about them, and the state that a coordinator hands over."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
-class LotReport:
-    """What became of a lot so far; `finished` promises that no more of it will be spent."""
+class GrantReport:
+    """Spending of a grant so far; `finished` promises that none of its tokens are spent later."""
 
     number: int
     spent: int
@@ -13,8 +13,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldLot:
-    """A lot as the old home hands it to the new one."""
+class GrantSnapshot:
+    """A grant as the old coordinator hands it over to the new one."""
 
     session_id: str
     number: int
@@ -24,11 +24,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldBucket:
-    """A home bucket as it is handed over."""
+class BucketSnapshot:
+    """A coordinator's bucket as it is handed over."""
 
     level: float
-    lots: tuple[HeldLot, ...]
+    grants: tuple[GrantSnapshot, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,8 +40,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HomeAnswer:
-    """What a home gives; `retry_after_ms` counts when it is short."""
+class GrantResult:
+    """Tokens that a coordinator granted; `retry_after_ms` applies if they are too few."""
 
     granted: int
     retry_after_ms: int = 0
--- a/goldcreststair/components/limits/protocols.py
+++ b/goldcreststair/components/limits/protocols.py
@@ -1,4 +1,4 @@
-"""What other components ask of limits."""
+"""Interface of limits for other components."""
 
 from dataclasses import dataclass
 from typing import Final, Protocol
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitExceeded(GoldcreststairError):
-    """The customer's rate and burst are spent."""
+    """The customer has used up its rate and burst."""
 
     retry_after_ms: int = 1000
 
@@ -24,7 +24,10 @@
     async def async_admit(
         self, customer: Customer, deadline_at: Millis | None = None
     ) -> Result[None, LimitExceeded]:
-        """Take one token, asking the customer's home VM for more if need be."""
+        """Spend one token, requesting more from the customer's coordinator if needed.
+
+        Without a `deadline_at` it waits as long as the component allows.
+        """
 
 
 LIMITS: Final = ComponentKey[Limits]("limits")
--- a/tests/components/limits/limit_simulation.py
+++ b/tests/components/limits/limit_simulation.py
@@ -1,4 +1,4 @@
-"""Several VMs on drifting clocks, a store and a hostile network around the pure controllers."""
+"""Simulation of limits without I/O: VMs on drifting clocks, a store and a faulty network."""
 
 import random
 from dataclasses import dataclass, field
@@ -9,8 +9,8 @@
 from goldcreststair.components.configuration.models import Customer
 from goldcreststair.components.ledger.protocols import Partition
 from goldcreststair.components.limits.const import SUPPORTERS_RECORD
-from goldcreststair.components.limits.coordinators import Home, Homes
-from goldcreststair.components.limits.granted_tokens import BorrowedBucket
+from goldcreststair.components.limits.coordinators import Coordinator, Coordinators
+from goldcreststair.components.limits.granted_tokens import GrantedTokens
 from goldcreststair.components.limits.static_share import StaticShare
 from standins.measure.excess import find_excess
 from tests.helpers.ledgers import FakePartition
@@ -19,7 +19,7 @@
 
 
 class VmLedger:
-    """What one VM believes of the only partition; implements the part of `Ledger` in use."""
+    """One VM's knowledge of the only partition; implements the part of `Ledger` in use."""
 
     def __init__(self) -> None:
         self.partition: FakePartition | None = None
@@ -39,27 +39,32 @@
     speed: float
     ledger: VmLedger = field(default_factory=VmLedger)
     share: StaticShare = field(default_factory=StaticShare)
-    bucket: BorrowedBucket = field(default_factory=BorrowedBucket)
+    tokens: GrantedTokens = field(default_factory=GrantedTokens)
 
     def __post_init__(self) -> None:
-        self.homes = Homes(self.ledger)  # type: ignore[arg-type]
+        self.coordinators = Coordinators(self.ledger)  # type: ignore[arg-type]
 
-    def find_home(self) -> Home | None:
-        return self.homes.find(0)
+    def find_coordinator(self) -> Coordinator | None:
+        return self.coordinators.find(0)
 
 
-class World:
-    """One customer; every step may be called in any order."""
+class Simulation:
+    """One customer of several VMs; the steps may be called in any order."""
 
     def __init__(
-        self, seed: int, vms: int = 4, rate: float = 20, burst: int = 40, doubt: float = 0.0
+        self,
+        seed: int,
+        vms: int = 4,
+        rate: float = 20,
+        burst: int = 40,
+        unknown_write_share: float = 0.0,
     ) -> None:
         rng = random.Random(seed)
-        self.doubts = random.Random(seed)
-        self.doubt = doubt
-        """Part of the writes of supporters whose outcome the home does not hear at once."""
-        self.in_doubt: bytes | None = None
-        """A set of supporters whose write's outcome the home does not know."""
+        self.write_random = random.Random(seed)
+        self.unknown_write_share = unknown_write_share
+        """Fraction of the writes of supporters whose outcome the coordinator learns only later."""
+        self.pending_write: bytes | None = None
+        """Set of supporters whose write has an outcome that the coordinator does not know yet."""
         self.time = 0
         self.customer = Customer("acme", rate, burst)
         self.highest = self.customer
@@ -81,15 +86,15 @@
     def claim(self, vm: Vm) -> None:
         if not self.store_up:
             return
-        self.epoch, self.owner, self.in_doubt = self.epoch + 1, vm.name, None
+        self.epoch, self.owner, self.pending_write = self.epoch + 1, vm.name, None
         partition = FakePartition(0)
         partition.epoch, partition.confirmed_at = self.epoch, self.now(vm)
         partition.records[SUPPORTERS_RECORD] = self.record
         vm.ledger.partition = partition
-        vm.homes.gain(partition, self.now(vm))
+        vm.coordinators.gain(partition, self.now(vm))
 
     def confirm(self, vm: Vm) -> None:
-        """One store call of a VM that may find that it lost the partition."""
+        """Make one store call of a VM, by which it may learn that it lost the partition."""
         if not self.store_up or vm.ledger.partition is None:
             return
         if self.owner == vm.name and vm.ledger.partition.epoch == self.epoch:
@@ -98,26 +103,26 @@
             vm.ledger.partition = None
 
     def write_supporters(self, vm: Vm) -> None:
-        home = vm.find_home()
-        if home is None or not self.store_up or not home.is_ready(self.now(vm)):
+        coordinator = vm.find_coordinator()
+        if coordinator is None or not self.store_up or not coordinator.is_ready(self.now(vm)):
             return
         self.confirm(vm)
         if vm.ledger.partition is not None:
             chosen = [name for name in self.vms if name != vm.name][:3]
             encoded = " ".join(chosen).encode()
-            # What became of a write that was left in doubt is known before the next one begins.
-            if self.in_doubt is not None:
-                home.right.end_change(written=self.record == self.in_doubt)
-                self.in_doubt = None
-            home.right.begin_change(chosen)
-            in_doubt = self.doubts.random() < self.doubt
-            written = not in_doubt or self.doubts.random() < 0.5
+            # The outcome of the previous write is known before the next one begins.
+            if self.pending_write is not None:
+                coordinator.lease.end_change(written=self.record == self.pending_write)
+                self.pending_write = None
+            coordinator.lease.begin_change(chosen)
+            outcome_unknown = self.write_random.random() < self.unknown_write_share
+            written = not outcome_unknown or self.write_random.random() < 0.5
             if written:
                 self.record = encoded
-            if in_doubt:
-                self.in_doubt = encoded
+            if outcome_unknown:
+                self.pending_write = encoded
             else:
-                home.right.end_change(written=written)
+                coordinator.lease.end_change(written=written)
 
     def change(self, rate: float, burst: int) -> None:
         self.customer = Customer("acme", rate, burst)
@@ -132,59 +137,59 @@
     def _spend(self, vm: Vm, now: Millis) -> bool:
         if vm.share.spend(self.customer, vm.slot, now):
             return True
-        answer = vm.homes.spend(self.customer, now)
-        return bool(answer is not None and answer.granted) or vm.bucket.take(now)
+        answer = vm.coordinators.spend(self.customer, now)
+        return bool(answer is not None and answer.granted) or vm.tokens.spend(now)
 
-    def converse(self, vm: Vm, want: int, target: str = "") -> None:
-        """Ask, and deliver everything at once."""
-        self.ask(vm, want, target)
+    def request_and_deliver(self, vm: Vm, wanted: int, target: str = "") -> None:
+        """Request tokens, and deliver all messages at once."""
+        self.request_tokens(vm, wanted, target)
         self.deliver_all()
 
     def hand_over(self, vm: Vm) -> None:
-        """Move the home to another VM, as in a planned stop."""
+        """Move the coordinator to another VM, as in a planned stop."""
         self.claim(vm)
-        self.question(vm)
+        self.request_renounce(vm)
         self.deliver_all()
 
     def deliver_all(self) -> None:
         for _ in range(100):
             self.deliver(0)
 
-    def ask(self, vm: Vm, want: int, target: str = "") -> None:
-        """Send an ask with reports to a VM that believes to be owner, the true one or not."""
+    def request_tokens(self, vm: Vm, wanted: int, target: str = "") -> None:
+        """Send a token request with reports to a VM that assumes to be the owner, rightly or not."""
         number = next(self.numbers)
-        reports = vm.bucket.ask(number, self.now(vm))
-        believed = [v.name for v in self.vms.values() if v.ledger.partition is not None]
-        found = believed[-1:] if number % 3 else believed[:1]
+        reports = vm.tokens.begin_request(number, self.now(vm))
+        claimants = [v.name for v in self.vms.values() if v.ledger.partition is not None]
+        found = claimants[-1:] if number % 3 else claimants[:1]
         for name in [target] if target else found:
-            self.messages.append((vm.name, name, ("ask", number, want, reports)))
+            self.messages.append((vm.name, name, ("request", number, wanted, reports)))
 
     def give_up(self, vm: Vm) -> None:
-        for number in list(vm.bucket._asked):
-            vm.bucket.give_up(number)
-
-    def question(self, vm: Vm) -> None:
-        home = vm.find_home()
-        if home is not None and home.take_over is not None:
-            for name in [*self.vms, *home.take_over.unheard]:
-                self.messages.append((vm.name, name, ("renounce", home.epoch)))
-
-    def ask_support(self, vm: Vm) -> None:
-        home = vm.find_home()
-        if home is not None:
-            for name in home.right.supporters:
-                asked = ("support", home.epoch, self.now(vm))
-                self.messages.append((vm.name, name, asked))
+        for number in list(vm.tokens._requested_at):
+            vm.tokens.give_up(number)
+
+    def request_renounce(self, vm: Vm) -> None:
+        coordinator = vm.find_coordinator()
+        if coordinator is not None and coordinator.takeover is not None:
+            for name in [*self.vms, *coordinator.takeover.not_renounced]:
+                self.messages.append((vm.name, name, ("renounce", coordinator.epoch)))
+
+    def request_support(self, vm: Vm) -> None:
+        coordinator = vm.find_coordinator()
+        if coordinator is not None:
+            for name in coordinator.lease.supporters:
+                request = ("support", coordinator.epoch, self.now(vm))
+                self.messages.append((vm.name, name, request))
 
     def kill(self, vm: Vm) -> None:
-        """Replace a VM by a new one of another name and slot."""
+        """Replace a VM by a new one with another name and slot."""
         del self.vms[vm.name]
         name = f"v{next(self.numbers) + 100}"
         slot = max((v.slot for v in self.vms.values()), default=0) + 1
         self.vms[name] = Vm(name, slot, vm.offset, vm.speed)
 
     def deliver(self, position: int, keep: bool = False) -> None:
-        """Deliver one message, whatever its age; kept, it will come once more."""
+        """Deliver one message of any age; with `keep` it is delivered once more later."""
         if not self.messages:
             return
         index = position % len(self.messages)
@@ -196,36 +201,40 @@
         if self.messages:
             self.messages.pop(position % len(self.messages))
 
-    def _on_ask(self, source: str, vm: Vm, number: int, want: int, reports: Any) -> None:
-        answer = vm.homes.grant_tokens(self.customer, source, number, want, reports, self.now(vm))
+    def _on_request(self, source: str, vm: Vm, number: int, wanted: int, reports: Any) -> None:
+        answer = vm.coordinators.grant_tokens(
+            self.customer, source, number, wanted, reports, self.now(vm)
+        )
         if answer is not None:
             self.messages.append((vm.name, source, ("grant", number, answer.granted)))
 
     def _on_grant(self, source: str, vm: Vm, number: int, granted: int) -> None:
-        vm.bucket.accept(number, granted, self.now(vm))
+        vm.tokens.accept(number, granted, self.now(vm))
 
     def _on_renounce(self, source: str, vm: Vm, epoch: int) -> None:
-        held = vm.homes.renounce(0, epoch, [self.customer], self.now(vm))
-        self.messages.append((vm.name, source, ("renounced", epoch, *held)))
+        snapshots = vm.coordinators.renounce(0, epoch, [self.customer], self.now(vm))
+        self.messages.append((vm.name, source, ("renounced", epoch, *snapshots)))
 
-    def _on_renounced(self, source: str, vm: Vm, epoch: int, held_epoch: int, held: Any) -> None:
-        home = vm.find_home()
-        if home is None or home.epoch != epoch:
+    def _on_renounced(
+        self, source: str, vm: Vm, epoch: int, held_epoch: int, snapshots: Any
+    ) -> None:
+        coordinator = vm.find_coordinator()
+        if coordinator is None or coordinator.epoch != epoch:
             return
-        if home.take_over is not None:
-            home.take_over.renounce(source, self.now(vm))
-        if held_epoch == home.epoch - 1:
-            vm.homes.restore(home, held, [self.customer], self.now(vm))
+        if coordinator.takeover is not None:
+            coordinator.takeover.renounce(source, self.now(vm))
+        if held_epoch == coordinator.epoch - 1:
+            vm.coordinators.restore(coordinator, snapshots, [self.customer], self.now(vm))
 
-    def _on_support(self, source: str, vm: Vm, epoch: int, asked_at: Millis) -> None:
-        if vm.homes.may_support(0, epoch):
-            self.messages.append((vm.name, source, ("supported", epoch, asked_at)))
+    def _on_support(self, source: str, vm: Vm, epoch: int, requested_at: Millis) -> None:
+        if vm.coordinators.may_support(0, epoch):
+            self.messages.append((vm.name, source, ("supported", epoch, requested_at)))
 
-    def _on_supported(self, source: str, vm: Vm, epoch: int, asked_at: Millis) -> None:
-        home = vm.find_home()
-        if home is not None and home.epoch == epoch:
-            home.right.support(source, asked_at)
+    def _on_supported(self, source: str, vm: Vm, epoch: int, requested_at: Millis) -> None:
+        coordinator = vm.find_coordinator()
+        if coordinator is not None and coordinator.epoch == epoch:
+            coordinator.lease.record_support(source, requested_at)
 
     def find_excess(self) -> float:
-        """Return by how much the worst interval exceeds rate x time + burst."""
+        """Return by how many requests the worst interval exceeds rate x time + burst."""
         return find_excess(self.admitted, self.highest.rate_per_s, self.highest.burst, DRIFT)
--- a/tests/components/limits/test_fleet.py
+++ b/tests/components/limits/test_fleet.py
@@ -1,4 +1,4 @@
-"""The limits of several VMs over links, on virtual time."""
+"""Limits of several VMs that exchange messages, on virtual time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -22,17 +22,17 @@
 
 
 class Callers:
-    """Sends requests through one fleet and keeps the times of those admitted."""
+    """Sends requests to one fleet and records the times of those admitted."""
 
     def __init__(self, fleet: LimitFleet) -> None:
         self.fleet = fleet
-        self.home = fleet.find_home(ACME.name)
-        self.others = [name for name in fleet.vms if name != self.home]
+        self.coordinator = fleet.find_home(ACME.name)
+        self.others = [name for name in fleet.vms if name != self.coordinator]
         self.admitted: list[int] = []
         self.refused: list[int] = []
 
     async def async_send(self, vm: str, requests: int) -> int:
-        """Send requests at once; returns how many were admitted."""
+        """Send concurrent requests; returns how many were admitted."""
         sent = [self.fleet.vms[vm].limits.async_admit(ACME) for _ in range(requests)]
         outcomes = await asyncio.gather(*sent)
         passed = sum(isinstance(outcome, Ok) for outcome in outcomes)
@@ -41,7 +41,7 @@
         return passed
 
     async def async_stream(self, vm: str, seconds: int, per_s: int) -> float:
-        """Send evenly; returns the part that was admitted."""
+        """Send requests at a constant rate; returns the fraction that was admitted."""
         running = []
         for _ in range(seconds * per_s):
             running.append(asyncio.create_task(self.async_send(vm, 1)))
@@ -50,7 +50,7 @@
 
 
 def run_fleet(test: Callable[[Callers], Awaitable[None]]) -> None:
-    """Run a test on four VMs and check the bound at its end."""
+    """Run a test on four VMs, then check the bound of admitted requests."""
 
     async def async_run() -> None:
         fleet = LimitFleet(4, [ACME])
@@ -64,21 +64,23 @@
     run_virtual(async_run())
 
 
-def test_concurrent_requests_share_one_ask() -> None:
+def test_concurrent_requests_share_one_token_request() -> None:
     async def async_test(callers: Callers) -> None:
         assert await callers.async_send(callers.others[0], 30) == 30
-        asks = [m for _, _, m in callers.fleet.network.sent if isinstance(m, ttypes.TokenAsk)]
-        assert len(asks) == 1
+        token_requests = [
+            m for _, _, m in callers.fleet.network.sent if isinstance(m, ttypes.TokenAsk)
+        ]
+        assert len(token_requests) == 1
         assert await callers.async_send(callers.others[1], 30) <= 11
 
     run_fleet(async_test)
 
 
-def test_lost_answer_gives_its_tokens_back() -> None:
-    """The home lends all it has and the answer is lost.
+def test_lost_answer_returns_its_tokens() -> None:
+    """The coordinator grants all its tokens and the answer is lost.
 
-    Callers are refused at once. The borrower promises with its next ask never to use that lot, so
-    the tokens are there again before the lease would have lapsed.
+    Callers are refused at once. With its next token request the VM reports the grant as unused, so
+    that the tokens are available again before the grant would have expired.
     """
 
     async def async_test(callers: Callers) -> None:
@@ -90,14 +92,14 @@
     run_fleet(async_test)
 
 
-def test_cut_link_to_the_home_refuses_within_the_bound() -> None:
-    """The link between a VM and a customer's home is cut.
+def test_cut_link_to_the_coordinator_refuses_at_once() -> None:
+    """The link between a VM and a customer's coordinator is cut.
 
-    Its callers get their refusal at once, with the time to come back, rather than a wait.
+    Its callers are refused at once with a retry time, instead of waiting.
     """
 
     async def async_test(callers: Callers) -> None:
-        callers.fleet.network.cut(callers.home, callers.others[0])
+        callers.fleet.network.cut(callers.coordinator, callers.others[0])
         before = callers.fleet.get_now()
         assert await callers.async_send(callers.others[0], 5) == 0
         assert callers.fleet.get_now() - before <= 150
@@ -106,32 +108,32 @@
 
 
 def test_stale_owner_is_corrected_while_requests_wait() -> None:
-    """A VM takes another one for the home than the store names.
+    """A VM assumes another coordinator than the store names.
 
-    Every ask is answered "not home", and all of the customer's requests there would be refused
-    although the home has tokens. The VM reads the owner and the waiting requests pass.
+    Every token request is answered "not the coordinator", so that all of the customer's requests
+    would be refused although there are tokens. The VM reads the owner and admits those waiting.
     """
 
     async def async_test(callers: Callers) -> None:
-        asking, other = callers.others[:2]
-        ledger = callers.fleet.vms[asking].ledger
+        requesting, other = callers.others[:2]
+        ledger = callers.fleet.vms[requesting].ledger
         ledger.stale[ledger.find_index(f"customer/{ACME.name}")] = other
-        assert await callers.async_send(asking, 5) == 5
+        assert await callers.async_send(requesting, 5) == 5
 
     run_fleet(async_test)
 
 
-def test_planned_change_of_home_keeps_the_level() -> None:
-    """A home leaves and hands its partition over.
+def test_planned_change_of_coordinator_keeps_the_level() -> None:
+    """A coordinator leaves and hands its partition over.
 
-    A new home that waited for old rights would refuse everything for seconds: it takes the old
-    one's buckets instead, lent tokens included.
+    A new coordinator that waited for the old lease to end would refuse everything for seconds. It
+    gets the old one's buckets instead, including the granted tokens.
     """
 
     async def async_test(callers: Callers) -> None:
         assert await callers.async_send(callers.others[0], 30) == 30
         fleet = callers.fleet
-        index = fleet.vms[callers.home].ledger.find_index(f"customer/{ACME.name}")
+        index = fleet.vms[callers.coordinator].ledger.find_index(f"customer/{ACME.name}")
         fleet.vms[callers.others[1]].ledger.claim(index)
         await fleet.clock.async_sleep(900)
         assert await callers.async_send(callers.others[1], 40) >= 24
@@ -139,11 +141,12 @@
     run_fleet(async_test)
 
 
-def test_store_outage_costs_a_tenth_at_most() -> None:
+def test_store_outage_costs_at_most_a_tenth() -> None:
     """The store is down for five minutes.
 
-    No home can confirm that it still owns its partition. Its supporters promise to tell any newer
-    owner, so it goes on with nine tenths; customers within that see nothing.
+    No coordinator can confirm that it still owns its partition. Its supporters extend the lease as
+    long as they know no newer owner, and it continues with nine tenths of the limit; customers
+    that send less notice nothing.
     """
 
     async def async_test(callers: Callers) -> None:
@@ -155,11 +158,11 @@
 
 
 @pytest.mark.parametrize("outage", [False, True])
-def test_lost_home_is_replaced_within_its_wait(outage: bool) -> None:
-    """A home is lost, perhaps while the store is down and it lived on its supporters.
+def test_lost_coordinator_is_replaced_after_its_lease(outage: bool) -> None:
+    """A coordinator is lost, in one case while the store is down and supporters extend its lease.
 
-    Once the loss is noticed the successor waits until the old home's rights have ended, then
-    refills from nothing; callers never get more than the bound.
+    Once the loss is noticed, the successor waits until the old lease has ended and then refills an
+    empty bucket; no more than the bound is ever admitted.
     """
 
     async def async_test(callers: Callers) -> None:
@@ -168,7 +171,7 @@
         fleet.store.up = not outage
         await fleet.clock.async_sleep(30_000)
         await callers.async_send(callers.others[0], 40)
-        await fleet.async_kill(callers.home)
+        await fleet.async_kill(callers.coordinator)
         fleet.store.up = True
         assert await callers.async_stream(callers.others[0], 20, 10) < 0.1
         await fleet.clock.async_sleep(9000)
@@ -186,11 +189,11 @@
     run_virtual(async_test())
 
 
-def test_outage_is_survived_while_a_supporter_leaves() -> None:
+def test_leaving_supporter_in_an_outage_stops_no_coordinator() -> None:
     """The store goes down, and two seconds later another VM begins to leave.
 
-    Its home tried to write other supporters, and had none while that write was in doubt: every
-    customer of the fleet was refused for nine seconds, until the homes gave up writing.
+    The coordinators tried to write other supporters, and had none while the outcome of that write
+    was unknown: all customers were refused for nine seconds, until the write was given up.
     """
 
     async def async_test(callers: Callers) -> None:
--- a/tests/components/limits/test_slow_coordinator.py
+++ b/tests/components/limits/test_slow_coordinator.py
@@ -1,4 +1,4 @@
-"""Asks that are answered late, by a home that is alive, on virtual time."""
+"""Token requests that a live coordinator answers late, on virtual time."""
 
 import asyncio
 import random
@@ -10,44 +10,44 @@
 from goldcreststair.clock import Millis
 from goldcreststair.components.limits.const import (
     ADMIT_WAIT_MS,
-    ASK_INTERVAL_MS,
-    ASK_TIMEOUT_MS,
+    REQUEST_INTERVAL_MS,
+    REQUEST_TIMEOUT_MS,
     UNREACHABLE_RETRY_MS,
 )
-from goldcreststair.components.limits.response_timer import AskSilence
+from goldcreststair.components.limits.response_timer import ResponseTimer
 from tests.components.limits.test_fleet import ACME, Callers, run_fleet
 from tests.helpers.virtual_time import VirtualTimeLoop
 
 
-def stand_still(duration_ms: int) -> None:
-    """Let time pass in which nothing of the running loop goes on."""
+def pause_process(duration_ms: int) -> None:
+    """Let time pass while the running loop does nothing."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualTimeLoop)
     loop.stand_still(duration_ms / 1000)
 
 
 @pytest.mark.parametrize(
-    ("late_looks", "silent_ms"),
+    ("late_checks", "silent_ms"),
     [({}, 500), ({3: 40}, 500), ({3: 41}, 691), ({3: 41, 10: 2000}, 3041)],
-    ids=["no pause", "look hardly late", "a pause", "two pauses"],
+    ids=["no pause", "check hardly late", "a pause", "two pauses"],
 )
-def test_silence_is_counted_anew_after_a_late_look(
-    late_looks: dict[int, int], silent_ms: int
+def test_timeout_starts_anew_after_a_late_check(
+    late_checks: dict[int, int], silent_ms: int
 ) -> None:
-    """A pause of this process counts as silence, or a look that is hardly late excuses a home."""
+    """A pause of this process counts towards the timeout, or a hardly late check restarts it."""
     now = 0
-    silence = AskSilence(Millis(now))
-    for look in count(1):
-        pause_ms = silence.find_pause(Millis(now))
+    timer = ResponseTimer(Millis(now))
+    for check in count(1):
+        pause_ms = timer.next_wait_ms(Millis(now))
         if pause_ms == 0:
             break
-        now += pause_ms + late_looks.get(look, 0)
+        now += pause_ms + late_checks.get(check, 0)
     assert now == silent_ms
 
 
 @pytest.mark.parametrize("one_way_ms", [75, 125, 200])
-def test_late_answer_of_the_home_is_waited_for(one_way_ms: int) -> None:
-    """A home on a busy VM answers late and is taken for dead: callers within their rate get 429."""
+def test_waits_for_a_late_answer_of_the_coordinator(one_way_ms: int) -> None:
+    """A coordinator on a busy VM answers late and is considered lost: callers in limits get 429."""
 
     async def async_test(callers: Callers) -> None:
         callers.fleet.network.delay_ms = one_way_ms
@@ -56,38 +56,38 @@
     run_fleet(async_test)
 
 
-@pytest.mark.parametrize("stood_ms", [160, 520, 700, 1200])
-def test_pause_of_this_process_is_no_silence_of_the_home(stood_ms: int) -> None:
-    """This VM stands still with an answer on its way: what it did not read counts as silence."""
+@pytest.mark.parametrize("paused_ms", [160, 520, 700, 1200])
+def test_pause_of_this_process_is_no_timeout_of_the_coordinator(paused_ms: int) -> None:
+    """This VM is paused while an answer arrives: the unread answer counts as missing."""
 
     async def async_test(callers: Callers) -> None:
         sending = asyncio.create_task(callers.async_send(callers.others[0], 5))
         await callers.fleet.clock.async_sleep(1)
-        stand_still(stood_ms)
+        pause_process(paused_ms)
         assert await sending == 5
 
     run_fleet(async_test)
 
 
-@pytest.mark.parametrize("stood_ms", [160, 700])
-def test_lost_home_is_noticed_after_a_pause_of_this_process(stood_ms: int) -> None:
-    """This VM stands still while its home is gone: a pause that excuses any silence holds callers."""
+@pytest.mark.parametrize("paused_ms", [160, 700])
+def test_lost_coordinator_is_noticed_after_a_pause_of_this_process(paused_ms: int) -> None:
+    """This VM is paused while the coordinator is lost: a timeout extended too far delays callers."""
 
     async def async_test(callers: Callers) -> None:
         callers.fleet.network.delay_ms = 60_000
         sending = asyncio.create_task(callers.async_send(callers.others[0], 5))
         await callers.fleet.clock.async_sleep(1)
-        stand_still(stood_ms)
+        pause_process(paused_ms)
         before = callers.fleet.get_now()
         assert await sending == 0
-        assert callers.fleet.get_now() - before <= ASK_TIMEOUT_MS + ASK_INTERVAL_MS
+        assert callers.fleet.get_now() - before <= REQUEST_TIMEOUT_MS + REQUEST_INTERVAL_MS
 
     run_fleet(async_test)
 
 
 @pytest.mark.parametrize("after_ms", [5, 20])
-def test_request_waits_for_the_ask_after_the_one_under_way(after_ms: int) -> None:
-    """A request that comes while another's ask is under way runs out of time before its own ask."""
+def test_request_waits_for_the_token_request_after_the_active_one(after_ms: int) -> None:
+    """A request arrives during another's token request and times out before its own is sent."""
 
     async def async_test(callers: Callers) -> None:
         callers.fleet.network.delay_ms = 40
@@ -99,61 +99,61 @@
     run_fleet(async_test)
 
 
-def test_lost_home_is_waited_for_once() -> None:
-    """A home is gone without a word: every request would be held for the answer that never comes."""
+def test_waits_only_once_for_a_lost_coordinator() -> None:
+    """A coordinator is lost: every request would wait for an answer that never arrives."""
 
     async def async_test(callers: Callers) -> None:
-        fleet, asking = callers.fleet, callers.others[0]
+        fleet, requesting = callers.fleet, callers.others[0]
         fleet.network.delay_ms = 60_000
-        for longest_ms in (ASK_TIMEOUT_MS, ADMIT_WAIT_MS, ADMIT_WAIT_MS):
+        for longest_ms in (REQUEST_TIMEOUT_MS, ADMIT_WAIT_MS, ADMIT_WAIT_MS):
             before = fleet.get_now()
-            assert await callers.async_send(asking, 5) == 0
+            assert await callers.async_send(requesting, 5) == 0
             assert fleet.get_now() - before <= longest_ms
             await fleet.clock.async_sleep(UNREACHABLE_RETRY_MS)
         fleet.network.delay_ms = 1
-        await fleet.clock.async_sleep(ASK_TIMEOUT_MS)
-        assert await callers.async_send(asking, 5) == 5
+        await fleet.clock.async_sleep(REQUEST_TIMEOUT_MS)
+        assert await callers.async_send(requesting, 5) == 5
 
     run_fleet(async_test)
 
 
-def test_home_that_was_silent_once_is_trusted_after_a_late_answer() -> None:
-    """A home is silent once and slow from then on: each of its answers would come too late."""
+def test_late_answer_ends_the_refusals_at_once() -> None:
+    """A coordinator times out once and is slow from then on: each answer would be too late."""
 
     async def async_test(callers: Callers) -> None:
-        fleet, asking = callers.fleet, callers.others[0]
+        fleet, requesting = callers.fleet, callers.others[0]
         fleet.network.delay_ms = 300
-        assert await callers.async_send(asking, 1) == 0
+        assert await callers.async_send(requesting, 1) == 0
         fleet.network.delay_ms = 100
-        assert await callers.async_send(asking, 1) == 0
+        assert await callers.async_send(requesting, 1) == 0
         await fleet.clock.async_sleep(UNREACHABLE_RETRY_MS)
         for _ in range(5):
-            assert await callers.async_send(asking, 2) == 2
+            assert await callers.async_send(requesting, 2) == 2
 
     run_fleet(async_test)
 
 
-def test_new_home_is_not_blamed_for_the_silence_of_the_old_one() -> None:
-    """A lost home has a successor that is slow at first: its callers would be refused once more."""
+def test_new_coordinator_is_awaited_after_a_timeout_of_the_old_one() -> None:
+    """The successor of a lost coordinator is slow at first: its callers would be refused again."""
 
     async def async_test(callers: Callers) -> None:
-        fleet, (asking, other) = callers.fleet, callers.others[:2]
-        ledger = fleet.vms[asking].ledger
+        fleet, (requesting, other) = callers.fleet, callers.others[:2]
+        ledger = fleet.vms[requesting].ledger
         ledger.stale[ledger.find_index(f"customer/{ACME.name}")] = other
         fleet.network.delay_ms = 60_000
-        assert await callers.async_send(asking, 5) == 0
+        assert await callers.async_send(requesting, 5) == 0
         fleet.network.delay_ms = 100
         await fleet.clock.async_sleep(UNREACHABLE_RETRY_MS)
-        assert await callers.async_send(asking, 5) == 5
+        assert await callers.async_send(requesting, 5) == 5
 
     run_fleet(async_test)
 
 
 @pytest.mark.parametrize(
-    ("deadline_ms", "stood_ms"), [(0, 0), (100, 0), (300, 0), (300, 160), (300, 290)]
+    ("deadline_ms", "paused_ms"), [(0, 0), (100, 0), (300, 0), (300, 160), (300, 290)]
 )
-def test_caller_is_answered_before_its_deadline(deadline_ms: int, stood_ms: int) -> None:
-    """A caller with little time left waits for a slow home beyond its deadline."""
+def test_caller_is_answered_before_its_deadline(deadline_ms: int, paused_ms: int) -> None:
+    """A caller with little time left waits for a slow coordinator beyond its deadline."""
 
     async def async_test(callers: Callers) -> None:
         fleet = callers.fleet
@@ -162,7 +162,7 @@
         limits = fleet.vms[callers.others[0]].limits
         admitting = asyncio.create_task(limits.async_admit(ACME, Millis(before + deadline_ms)))
         await asyncio.sleep(0)
-        stand_still(stood_ms)
+        pause_process(paused_ms)
         assert isinstance(await admitting, Err)
         assert fleet.get_now() - before <= deadline_ms
 
@@ -171,7 +171,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_bound_holds_while_answers_are_late(seed: int) -> None:
-    """Late answers are used beside new asks, and the fleet admits more than rate and burst."""
+    """Late answers are used beside new token requests: the fleet admits more than rate and burst."""
 
     async def async_test(callers: Callers) -> None:
         rng = random.Random(seed)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Customers and claims while VMs come and go: ledger, limits and claims together."""
+"""Limits of a customer while VMs join and leave, with ledger, limits and claims together."""
 
 import asyncio
 import random
@@ -28,37 +28,37 @@
 LONGEST_WAIT_MS = 150
 
 
-def find_home(fleet: FakeDaemons) -> FakeDaemon:
-    def is_home(daemon: FakeDaemon) -> bool:
-        known = daemon.core.get(LEDGER)
-        return known.get_owned(find_customer_index(known, ACME.name)) is not None
+def find_coordinator(fleet: FakeDaemons) -> FakeDaemon:
+    def is_coordinator(daemon: FakeDaemon) -> bool:
+        daemon_ledger = daemon.core.get(LEDGER)
+        return daemon_ledger.get_owned(find_customer_index(daemon_ledger, ACME.name)) is not None
 
-    return next(daemon for daemon in fleet.running if is_home(daemon))
+    return next(daemon for daemon in fleet.running if is_coordinator(daemon))
 
 
 async def async_leave(fleet: FakeDaemons) -> None:
-    find_home(fleet).core.get(MEMBERSHIP).set_state(MemberState.LEAVING)
+    find_coordinator(fleet).core.get(MEMBERSHIP).set_state(MemberState.LEAVING)
     await fleet.clock.async_sleep(5_000)
 
 
-async def async_join_until_home_moves(fleet: FakeDaemons) -> None:
-    home = find_home(fleet)
+async def async_join_until_coordinator_moves(fleet: FakeDaemons) -> None:
+    coordinator = find_coordinator(fleet)
     for _ in range(8):
         await fleet.async_add()
         await fleet.clock.async_sleep(4_000)
-        if find_home(fleet) is not home:
+        if find_coordinator(fleet) is not coordinator:
             return
-    raise AssertionError("the home never moved")
+    raise AssertionError("the coordinator never moved")
 
 
-@pytest.mark.parametrize("async_change", [async_leave, async_join_until_home_moves])
-def test_a_customer_within_its_rate_is_served_while_its_home_moves(
+@pytest.mark.parametrize("async_change", [async_leave, async_join_until_coordinator_moves])
+def test_a_customer_within_its_rate_is_served_while_its_coordinator_moves(
     async_change: Callable[[FakeDaemons], Coroutine[Any, Any, None]],
 ) -> None:
-    """A customer sends two thirds of its rate over all VMs while its home leaves, or a VM joins.
+    """A customer uses two thirds of its rate over all VMs while its coordinator leaves or a VM joins.
 
-    Its partition changes owner. Until the next owner had claimed it, up to a second later, its
-    requests were refused or waited that long, though nobody had failed.
+    The customer's partition changes its owner. Requests were refused or delayed for up to a second,
+    until the next owner had claimed it, although no VM had failed.
     """
 
     async def async_test() -> None:
@@ -71,10 +71,10 @@
         await async_patch(first, {"customers": {"acme": {"rate_per_s": 20, "burst": 40}}})
         await clock.async_sleep(20_000)
         changing = asyncio.create_task(async_change(fleet))
-        chosen = random.Random(1)
+        rng = random.Random(1)
         tasks = []
         while not changing.done():
-            tasks.append(asyncio.create_task(async_admit(chosen.choice(fleet.running))))
+            tasks.append(asyncio.create_task(async_admit(rng.choice(fleet.running))))
             await clock.async_sleep(PAUSE_MS)
         await changing
         waits = await asyncio.gather(*tasks)
@@ -87,7 +87,7 @@
 
 async def async_admit(daemon: FakeDaemon) -> int:
     """Return how long a request waited for its admission."""
-    begun_at = daemon.core.clock.now()
+    started_at = daemon.core.clock.now()
     admitted = await daemon.core.get(LIMITS).async_admit(ACME)
     assert isinstance(admitted, Ok), admitted
-    return daemon.core.clock.now() - begun_at
+    return daemon.core.clock.now() - started_at
