--- a/goldcreststair/components/claims/__init__.py
+++ b/goldcreststair/components/claims/__init__.py
@@ -1,4 +1,4 @@
-"""Idempotency claims: at most one run a key."""
+"""Idempotency claims: at most one run per key."""
 
 from goldcreststair.components.claims.protocols import CLAIMS
 from goldcreststair.components.claims.service import ClaimService
--- a/goldcreststair/components/claims/codec.py
+++ b/goldcreststair/components/claims/codec.py
@@ -1,4 +1,4 @@
-"""Thrift encoding of claims and outcomes."""
+"""Encodes claims and outcomes as thrift structs."""
 
 from typing import Any
 
@@ -9,12 +9,12 @@
 
 
 def make_record_key(customer: str, key: str) -> str:
-    """Return the key under which a claim is kept."""
+    """Return the key of a claim's record in the ledger."""
     return f"{RECORD_PREFIX}{customer}/{key}"
 
 
 def encode_record(record: ClaimRecord) -> bytes:
-    """Return a claim as bytes."""
+    """Return a claim's record in its stored form."""
     return encode_struct(
         ttypes.ClaimRecord(
             record.fingerprint,
@@ -30,7 +30,7 @@
 
 
 def decode_record(content: bytes) -> ClaimRecord:
-    """Return the claim in bytes."""
+    """Return the claim's record from its stored form."""
     raw = read_struct(ttypes.ClaimRecord, content)
     return ClaimRecord(
         raw.fingerprint,
@@ -45,7 +45,7 @@
 
 
 def to_wire(outcome: StoredOutcome | None) -> Any:
-    """Return an outcome as a generated struct, or None."""
+    """Return an outcome as a thrift struct; None for None."""
     if outcome is None:
         return None
     return ttypes.OutcomeData(
@@ -54,7 +54,7 @@
 
 
 def from_wire(raw: Any) -> StoredOutcome | None:
-    """Return an outcome from a generated struct, or None."""
+    """Return the outcome in a thrift struct; None for None."""
     if raw is None:
         return None
     return StoredOutcome(raw.status, raw.content_type, raw.body or b"", raw.body_object or "")
--- a/goldcreststair/components/claims/decisions.py
+++ b/goldcreststair/components/claims/decisions.py
@@ -1,4 +1,4 @@
-"""What the owner of a key decides; no I/O."""
+"""Decisions of the owner of a key; no I/O."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """An answer, and the record to make durable before it is given."""
+    """An answer, and the record to make durable before it is sent."""
 
     code: AnswerCode
     write: ClaimRecord | None = None
@@ -22,28 +22,28 @@
 
 
 def decide_claim(
-    found: ClaimRecord | None, wanted: ClaimRecord, is_gone: Callable[[str], bool]
+    found: ClaimRecord | None, new_record: ClaimRecord, is_gone: Callable[[str], bool]
 ) -> Decision:
-    """Decide on a claim; `wanted` is the record that a grant would write."""
+    """Decide on a claim; `new_record` is the record that a grant would write."""
     if found is None:
-        return Decision(AnswerCode.GRANTED, wanted)
-    if found.fingerprint != wanted.fingerprint:
+        return Decision(AnswerCode.GRANTED, new_record)
+    if found.fingerprint != new_record.fingerprint:
         return Decision(AnswerCode.MISMATCH)
     if found.state is ClaimState.DONE:
         return Decision(AnswerCode.FINISHED)
     if found.state is ClaimState.RUNNING:
-        if (found.request_id, found.runner) == (wanted.request_id, wanted.runner):
-            # The answer to the first message was lost and the asker sends it again: the grant is
-            # its own, and it has not run yet, as it never had the answer.
+        if (found.request_id, found.runner) == (new_record.request_id, new_record.runner):
+            # The answer to the first message was lost and the requester sent it again. The grant is
+            # its own, and it has not run the request yet, as it has not seen the answer.
             return Decision(AnswerCode.GRANTED, found)
         if not is_gone(found.runner):
             return Decision(AnswerCode.JOINED)
-    return _decide_lost_run(found, wanted)
+    return _decide_lost_run(found, new_record)
 
 
-def _decide_lost_run(found: ClaimRecord, wanted: ClaimRecord) -> Decision:
-    if found.repeatable and wanted.repeatable:
-        return Decision(AnswerCode.GRANTED, wanted)
+def _decide_lost_run(found: ClaimRecord, new_record: ClaimRecord) -> Decision:
+    if found.repeatable and new_record.repeatable:
+        return Decision(AnswerCode.GRANTED, new_record)
     if found.state is ClaimState.UNKNOWN:
         return Decision(AnswerCode.OUTCOME_UNKNOWN)
     return Decision(AnswerCode.OUTCOME_UNKNOWN, replace(found, state=ClaimState.UNKNOWN))
@@ -55,20 +55,20 @@
     holder: tuple[str, str, str],
     outcome: StoredOutcome | None,
 ) -> Decision:
-    """Decide on an ending; `holder` is the asker's session, claim id (may be empty), request id."""
+    """Decide on an ending; `holder` is the session, claim id (or "") and request id of its sender."""
     if found is None:
-        # A release that is sent again finds its work done.
+        # A release that is sent again has already removed the record.
         return Decision(AnswerCode.ENDED if ending is Ending.RELEASED else AnswerCode.TAKEN)
     session, claim_id, request_id = holder
     if claim_id:
-        held = found.claim_id == claim_id
+        is_holder = found.claim_id == claim_id
     else:
-        held = (found.runner, found.request_id) == (session, request_id)
-    if not held:
+        is_holder = (found.runner, found.request_id) == (session, request_id)
+    if not is_holder:
         return Decision(AnswerCode.TAKEN)
     if ending is Ending.SETTLED:
-        # An outcome that comes after the claim was marked unknown is the truth and replaces it:
-        # the claim id shows that no other run was granted meanwhile.
+        # An outcome that arrives after the claim was marked as unknown replaces that state: the
+        # claim id shows that no other run was granted meanwhile.
         if found.state is ClaimState.DONE:
             return Decision(AnswerCode.ENDED)
         done = replace(found, state=ClaimState.DONE, outcome=outcome)
@@ -83,7 +83,7 @@
 def decide_wait(
     found: ClaimRecord | None, fingerprint: str, is_gone: Callable[[str], bool]
 ) -> Decision:
-    """Decide on what a VM that joined a run is told now."""
+    """Decide on the answer to a VM that waits for a run that it joined."""
     if found is None or found.fingerprint != fingerprint:
         return Decision(AnswerCode.GONE)
     if found.state is ClaimState.DONE:
--- a/goldcreststair/components/claims/models.py
+++ b/goldcreststair/components/claims/models.py
@@ -1,11 +1,11 @@
-"""Claims as the owner of their partition keeps them."""
+"""Records of claims and the answers of their owner."""
 
 from dataclasses import dataclass
 from enum import IntEnum
 
 
 class ClaimState(IntEnum):
-    """Where a claimed run stands."""
+    """State of a claimed run."""
 
     RUNNING = 1
     DONE = 2
@@ -21,7 +21,7 @@
 
 
 class AnswerCode(IntEnum):
-    """What an owner answers."""
+    """Answer of an owner to a claim message."""
 
     GRANTED = 1
     JOINED = 2
@@ -30,21 +30,21 @@
     MISMATCH = 5
     OUTCOME_UNKNOWN = 6
     TAKEN = 7
-    """The claim to be ended is not the asker's any more."""
+    """The claim to be ended is no longer held by the requester."""
     UNAVAILABLE = 8
     """Certainly nothing was changed."""
     UNCERTAIN = 9
-    """The partition was lost while the write was under way; ask its next owner."""
+    """The partition was lost during the write, which may have taken effect; ask its next owner."""
     NOT_OWNER = 10
     WAITING = 11
     """The run has not ended yet."""
     GONE = 12
-    """The run that was joined will give no outcome, and may be asked for again."""
+    """The joined run will have no outcome; the request may be claimed again."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredOutcome:
-    """A final answer, its body inline or in an object."""
+    """A final answer with its body, which is inline or in the object `body_object`."""
 
     status: int
     content_type: str
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRecord:
-    """One claim."""
+    """One claim as stored in the ledger."""
 
     fingerprint: str
     request_id: str
@@ -63,5 +63,5 @@
     claim_id: str
     state: ClaimState
     tick: int
-    """Value of the partition's tick when the record was last written."""
+    """Tick of the partition when the claim was granted."""
     outcome: StoredOutcome | None = None
--- a/goldcreststair/components/claims/owner_client.py
+++ b/goldcreststair/components/claims/owner_client.py
@@ -1,4 +1,4 @@
-"""Carries a claim message to the owner of its key."""
+"""Sends claim messages to the owner of their key."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -19,36 +19,39 @@
 
 @dataclass(frozen=True, slots=True)
 class NoAnswer:
-    """No owner decided in time."""
+    """Result if no owner decided in time."""
 
     uncertain: bool
-    """True if the message may have had its effect."""
+    """Whether the message may have taken effect."""
     text: str
 
 
-class Exchange:
-    """Finds the owner by belief, by its redirect, and by the head row."""
+class OwnerClient:
+    """Finds the owner from the ledger's cache, a redirect, or the partition's head row."""
 
     def __init__(self, core: Core, handlers: dict[type[Any], Handler]) -> None:
-        """Answer messages to this VM's own partitions by `handlers`."""
+        """Create a client; `handlers` answer messages for this VM's own partitions."""
         self._core = core
         self._ledger = core.get(LEDGER)
         self._peers = core.get(PEERS)
         self._handlers = handlers
 
-    async def async_ask(
+    async def async_request(
         self, index: int, make_message: Callable[[int], Any], deadline: Millis
     ) -> ClaimAnswer | NoAnswer:
-        """Ask until an owner decides or the deadline passes; messages are idempotent."""
+        """Send messages until an owner decides or the deadline passes; they are idempotent.
+
+        `make_message` gets the remaining time in ms.
+        """
         uncertain = False
         text = "no owner answered"
         attempt = 0
-        while (left := deadline - self._core.clock.now()) > 0:
-            answer = await self._async_try(index, make_message, left)
+        while (remaining_ms := deadline - self._core.clock.now()) > 0:
+            answer = await self._async_send(index, make_message, remaining_ms)
             if answer is None or answer.code == AnswerCode.UNCERTAIN:
                 uncertain = True
             elif answer.code == AnswerCode.UNAVAILABLE:
-                # It says that this message had no effect, which an earlier one may have had.
+                # This message had no effect, but an earlier one may have had.
                 if not uncertain:
                     return answer
             elif answer.code != AnswerCode.NOT_OWNER:
@@ -60,18 +63,18 @@
                 await self._ledger.async_read_owner(index)
         return NoAnswer(uncertain, text)
 
-    async def _async_try(
-        self, index: int, make_message: Callable[[int], Any], left: int
+    async def _async_send(
+        self, index: int, make_message: Callable[[int], Any], remaining_ms: int
     ) -> ClaimAnswer | None:
-        """Send one message; None if it may have had its effect without an answer."""
+        """Send one message; None if it may have taken effect without an answer."""
         owner = self._ledger.find_owner(index) or ""
-        # The owner gives up a little earlier, so that its answer is still in time.
-        message = make_message(max(left * 3 // 4, 1))
+        # The owner gets a shorter timeout, so that its answer arrives in time.
+        message = make_message(max(remaining_ms * 3 // 4, 1))
         if owner == self._core.session_id:
             return await self._handlers[type(message)](owner, message)
         if not owner:
             return ClaimAnswer(int(AnswerCode.NOT_OWNER), "no owner is known", "", "")
-        answered = await self._peers.async_request(owner, message, left)
+        answered = await self._peers.async_request(owner, message, remaining_ms)
         if isinstance(answered, Err):
             error = answered.err_value
             await self._ledger.async_read_owner(index)
--- a/goldcreststair/components/claims/protocols.py
+++ b/goldcreststair/components/claims/protocols.py
@@ -1,4 +1,4 @@
-"""What other components ask of claims."""
+"""Interface of claims for other components."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -11,28 +11,28 @@
 
 
 class ClaimProblem(StrEnum):
-    """Why there is no claim or outcome."""
+    """Reason why there is no claim or outcome."""
 
     UNAVAILABLE = "unavailable"
-    """The claim certainly is not held and nothing ran on it; try again later."""
+    """Certainly no claim is held and nothing ran; try again later."""
     MISMATCH = "mismatch"
     """The key was used before with another body."""
     OUTCOME_UNKNOWN = "outcome_unknown"
-    """It may have run, its outcome was lost, and it may not run again."""
+    """The request may have run and its outcome was lost; it must not run again."""
     TIMEOUT = "timeout"
-    """The run being joined did not end in time; it may still end."""
+    """The joined run did not end in time; it may still end."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimError(GoldcreststairError):
-    """A claim call without the wanted result."""
+    """A failed call of claims."""
 
     problem: ClaimProblem = ClaimProblem.UNAVAILABLE
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimRequest:
-    """Who wants to run what."""
+    """Customer, key and request of a claim."""
 
     customer: str
     key: str
@@ -45,13 +45,13 @@
 
     @property
     def is_caller_key(self) -> bool:
-        """Return whether the caller chose the key, so that earlier sends may have used it."""
+        """Return whether the caller chose the key, so that earlier requests may have used it."""
         return self.key != self.request_id
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """A whole final answer."""
+    """A complete final answer."""
 
     status: int
     content_type: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """The caller of `async_claim` runs the request, and must settle or release the claim."""
+    """The caller of `async_claim` runs the request, and must settle, release or abandon the claim."""
 
     claim_id: str
     request: ClaimRequest
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Joined:
-    """Another run of the same request is under way; wait for its outcome."""
+    """Another run of the same request is in progress; wait for its outcome."""
 
     claim_id: str
     request: ClaimRequest
@@ -78,29 +78,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Finished:
-    """The request ran before; this is its answer."""
+    """The request ran before, with this outcome."""
 
     outcome: Outcome
 
 
 class Claims(Protocol):
-    """Claims kept in the ledger by the owner of each key's partition."""
+    """Claims that the owner of each key's partition keeps in the ledger."""
 
     async def async_claim(
         self, request: ClaimRequest, timeout_ms: int
     ) -> Result[Granted | Joined | Finished, ClaimError]:
-        """Claim a key durably before its run, or find its run or outcome."""
+        """Claim a key durably before its run, or return the run or outcome that it has already."""
 
     async def async_settle(
         self, claim: Granted, outcome: Outcome, timeout_ms: int
     ) -> Result[None, ClaimError]:
-        """Make the outcome durable; the answer may be given only after this."""
+        """Make the outcome durable; the answer may be sent to the caller only after this."""
 
     async def async_release(self, claim: Granted) -> None:
-        """Give a claim back whose request certainly did not run."""
+        """Release a claim whose request certainly did not run."""
 
     async def async_abandon(self, claim: Granted) -> None:
-        """Record that the run's outcome is unknown and never will be known."""
+        """Record that the run's outcome is unknown for good."""
 
     async def async_wait(self, claim: Joined, timeout_ms: int) -> Result[Outcome, ClaimError]:
         """Wait for the outcome of a run that was joined."""
--- a/goldcreststair/components/claims/released_requests.py
+++ b/goldcreststair/components/claims/released_requests.py
@@ -1,30 +1,30 @@
-"""Requests whose askers gave their claims back; request ids are never used again."""
+"""Requests whose claims were released; request ids are never reused."""
 
 from collections import OrderedDict
 
 from goldcreststair.clock import Clock, Millis
-from goldcreststair.components.claims.const import MAX_RELEASED, RELEASED_KEEP_MS
+from goldcreststair.components.claims.const import MAX_RELEASED, RELEASED_RETENTION_MS
 
 
 class ReleasedRequests:
-    """Remembers releases for as long as a message of before may still arrive."""
+    """Keeps releases for as long as an earlier claim message may still arrive."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start with none."""
+        """Create an empty collection."""
         self._clock = clock
         self._released: OrderedDict[tuple[str, str], Millis] = OrderedDict()
 
-    def add(self, asker: str, request_id: str) -> None:
-        """Remember one release; the oldest go first beyond the bound."""
+    def add(self, requester: str, request_id: str) -> None:
+        """Add a release, and drop those that are too old or beyond the bound, oldest first."""
         now = self._clock.now()
-        self._released.pop((asker, request_id), None)
-        self._released[(asker, request_id)] = now
+        self._released.pop((requester, request_id), None)
+        self._released[(requester, request_id)] = now
         while self._released:
             oldest = next(iter(self._released.values()))
-            if len(self._released) <= MAX_RELEASED and oldest + RELEASED_KEEP_MS > now:
+            if len(self._released) <= MAX_RELEASED and oldest + RELEASED_RETENTION_MS > now:
                 return
             self._released.popitem(last=False)
 
-    def contains(self, asker: str, request_id: str) -> bool:
-        """Return whether this request was released by its asker lately."""
-        return (asker, request_id) in self._released
+    def contains(self, requester: str, request_id: str) -> bool:
+        """Return whether the requester released this request recently."""
+        return (requester, request_id) in self._released
--- a/goldcreststair/components/claims/retention.py
+++ b/goldcreststair/components/claims/retention.py
@@ -6,8 +6,8 @@
 from goldcreststair.components.claims.const import (
     KEY_TICK,
     RECORD_PREFIX,
-    REMOVE_AT_ONCE,
-    REMOVE_PAUSE_MS,
+    REMOVE_BATCH_SIZE,
+    REMOVE_INTERVAL_MS,
     RETENTION_TICKS,
     TICK_MS,
 )
@@ -19,19 +19,19 @@
 
 
 class Retention:
-    """Counts the age of claims and removes old ones, a few at a time.
+    """Counts the age of claims and removes expired ones in small batches.
 
-    Age is a count of ticks kept as a record, as no clock outlives its VM. A change of owner makes
-    a tick longer, never shorter, so nothing is removed early.
+    The age is counted in ticks that are stored as a record, as no clock outlives its VM. A change
+    of owner makes a tick longer, never shorter, so that nothing is removed early.
     """
 
     def __init__(self, core: Core) -> None:
-        """Use the ledger."""
+        """Create the retention of the partitions that this VM owns."""
         self._core = core
         self._ledger = core.get(LEDGER)
 
     async def async_run(self) -> None:
-        """Tick until cancelled."""
+        """Count ticks and remove expired claims until cancelled."""
         while True:
             await self._core.clock.async_sleep(TICK_MS)
             for index in range(self._core.settings.partitions):
@@ -43,9 +43,9 @@
         tick = read_tick(partition) + 1
         await partition.async_commit([Change(KEY_TICK, b"%d" % tick)], COMMIT_TIMEOUT_MS)
         records = partition.scan(RECORD_PREFIX)
-        while batch := [pair for pair, _ in zip(records, range(REMOVE_AT_ONCE), strict=False)]:
+        while batch := [pair for pair, _ in zip(records, range(REMOVE_BATCH_SIZE), strict=False)]:
             await self._async_remove(partition, list(_list_expired(batch, tick)))
-            await self._core.clock.async_sleep(REMOVE_PAUSE_MS)
+            await self._core.clock.async_sleep(REMOVE_INTERVAL_MS)
 
     async def _async_remove(self, partition: Partition, expired: list[tuple[str, str]]) -> None:
         if not expired:
--- a/goldcreststair/components/claims/service.py
+++ b/goldcreststair/components/claims/service.py
@@ -1,4 +1,4 @@
-"""Implements `Claims`: asks the owners, keeps large bodies, insists on endings."""
+"""Implements `Claims`: messages to owners, large bodies in objects, and retried endings."""
 
 import asyncio
 import logging
@@ -9,8 +9,8 @@
 from goldcreststair.clock import Millis
 from goldcreststair.components.claims.codec import from_wire, make_record_key, to_wire
 from goldcreststair.components.claims.const import (
-    INSIST_DELAY_MS,
-    INSIST_MS,
+    ENDING_RETRY_DELAY_MS,
+    ENDING_RETRY_MS,
     MAX_INLINE_BODY_BYTES,
     NUMBER_ANSWER,
     NUMBER_CLAIM,
@@ -23,7 +23,7 @@
 )
 from goldcreststair.components.claims.models import AnswerCode, Ending, StoredOutcome
 from goldcreststair.components.claims.owner import ClaimOwner
-from goldcreststair.components.claims.owner_client import Exchange, Handler, NoAnswer
+from goldcreststair.components.claims.owner_client import Handler, NoAnswer, OwnerClient
 from goldcreststair.components.claims.protocols import (
     ClaimError,
     ClaimProblem,
@@ -55,19 +55,19 @@
 
 
 class ClaimService:
-    """Claims of this VM, kept by the owners of their keys."""
+    """Makes and ends claims of this VM at the owners of their keys."""
 
     def __init__(self, core: Core) -> None:
-        """Register the messages."""
+        """Register the message handlers; nothing runs yet."""
         self._core = core
         self._ledger = core.get(LEDGER)
-        self._keeper = keeper = ClaimOwner(core)
+        self._claim_owner = claim_owner = ClaimOwner(core)
         handlers: dict[type[Any], Handler] = {
-            ClaimMessage: keeper.async_claim,
-            SettleMessage: keeper.async_end,
-            WaitMessage: keeper.async_wait,
+            ClaimMessage: claim_owner.async_claim,
+            SettleMessage: claim_owner.async_end,
+            WaitMessage: claim_owner.async_wait,
         }
-        self._exchange = Exchange(core, handlers)
+        self._owner_client = OwnerClient(core, handlers)
         self._retention = Retention(core)
         self._tasks: set[asyncio.Task[None]] = set()
         peers = core.get(PEERS)
@@ -80,37 +80,37 @@
         peers.register(NUMBER_ANSWER, ClaimAnswer, None)
 
     async def async_start(self) -> None:
-        """Begin to remove old claims."""
+        """Begin to remove expired claims."""
         self._spawn(self._retention.async_run())
 
     async def async_close(self) -> None:
-        """Stop."""
-        self._keeper.close()
+        """Stop following members and cancel all tasks."""
+        self._claim_owner.close()
         for task in tuple(self._tasks):
             task.cancel()
 
     async def async_claim(
         self, request: ClaimRequest, timeout_ms: int
     ) -> Result[Granted | Joined | Finished, ClaimError]:
-        """Claim a key durably before its run, or find its run or outcome."""
-        answer = await self._exchange.async_ask(
+        """Claim a key durably before its run, or return the run or outcome that it has already."""
+        answer = await self._owner_client.async_request(
             self._find_index(request),
-            lambda left: ClaimMessage(
+            lambda remaining_ms: ClaimMessage(
                 request.customer,
                 request.key,
                 request.fingerprint,
                 request.request_id,
                 request.repeatable,
-                left,
+                remaining_ms,
             ),
             self._deadline(timeout_ms),
         )
         if isinstance(answer, NoAnswer):
             if answer.uncertain:
-                # The claim may be held in this session's name though nothing will run on it, and
-                # every resend would join a run that never ends. So it is given back.
+                # The claim may be held by this session although nothing will run, and every resend
+                # would join a run that never ends. So it is released.
                 claim = Granted("", request)
-                self._spawn(self._async_insist(claim, Ending.RELEASED, None))
+                self._spawn(self._async_retry_ending(claim, Ending.RELEASED, None))
             return Err(ClaimError(answer.text))
         if answer.code == AnswerCode.GRANTED:
             return Ok(Granted(answer.claim_id, request))
@@ -124,7 +124,7 @@
     async def async_settle(
         self, claim: Granted, outcome: Outcome, timeout_ms: int
     ) -> Result[None, ClaimError]:
-        """Make the outcome durable; the answer may be given only after this."""
+        """Make the outcome durable; the answer may be sent to the caller only after this."""
         deadline = self._deadline(timeout_ms)
         stored = await self._async_store_body(claim, outcome, deadline)
         if stored is None:
@@ -133,26 +133,28 @@
         answer = await self._async_end(claim, Ending.SETTLED, stored, deadline)
         if isinstance(answer, ClaimAnswer) and answer.code != AnswerCode.UNAVAILABLE:
             return Ok(None) if answer.code == AnswerCode.ENDED else Err(_make_error(answer))
-        self._spawn(self._async_insist(claim, Ending.SETTLED, stored))
+        self._spawn(self._async_retry_ending(claim, Ending.SETTLED, stored))
         return Err(ClaimError("the outcome is not durable yet", ClaimProblem.TIMEOUT))
 
     async def async_release(self, claim: Granted) -> None:
-        """Give a claim back whose request certainly did not run."""
-        await self._async_end_or_insist(claim, Ending.RELEASED)
+        """Release a claim whose request certainly did not run."""
+        await self._async_end_or_retry(claim, Ending.RELEASED)
 
     async def async_abandon(self, claim: Granted) -> None:
-        """Record that the run's outcome is unknown and never will be known."""
-        await self._async_end_or_insist(claim, Ending.ABANDONED)
+        """Record that the run's outcome is unknown for good."""
+        await self._async_end_or_retry(claim, Ending.ABANDONED)
 
     async def async_wait(self, claim: Joined, timeout_ms: int) -> Result[Outcome, ClaimError]:
         """Wait for the outcome of a run that was joined."""
         request = claim.request
         deadline = self._deadline(timeout_ms)
-        while (left := deadline - self._core.clock.now()) > 0:
-            answer = await self._exchange.async_ask(
+        while (remaining_ms := deadline - self._core.clock.now()) > 0:
+            answer = await self._owner_client.async_request(
                 self._find_index(request),
-                lambda left: WaitMessage(request.customer, request.key, request.fingerprint, left),
-                Millis(self._core.clock.now() + min(left, WAIT_SLICE_MS)),
+                lambda remaining_ms: WaitMessage(
+                    request.customer, request.key, request.fingerprint, remaining_ms
+                ),
+                Millis(self._core.clock.now() + min(remaining_ms, WAIT_SLICE_MS)),
             )
             if isinstance(answer, NoAnswer) or answer.code == AnswerCode.WAITING:
                 continue
@@ -165,45 +167,45 @@
         self, claim: Granted, ending: Ending, outcome: StoredOutcome | None, deadline: Millis
     ) -> ClaimAnswer | NoAnswer:
         request = claim.request
-        return await self._exchange.async_ask(
+        return await self._owner_client.async_request(
             self._find_index(request),
-            lambda left: SettleMessage(
+            lambda remaining_ms: SettleMessage(
                 request.customer,
                 request.key,
                 claim.claim_id,
                 request.request_id,
                 int(ending),
-                left,
+                remaining_ms,
                 to_wire(outcome),
             ),
             deadline,
         )
 
-    async def _async_end_or_insist(self, claim: Granted, ending: Ending) -> None:
+    async def _async_end_or_retry(self, claim: Granted, ending: Ending) -> None:
         answer = await self._async_end(claim, ending, None, self._deadline(RELEASE_TIMEOUT_MS))
         if isinstance(answer, NoAnswer) or answer.code == AnswerCode.UNAVAILABLE:
-            self._spawn(self._async_insist(claim, ending, None))
+            self._spawn(self._async_retry_ending(claim, ending, None))
 
-    async def _async_insist(
+    async def _async_retry_ending(
         self, claim: Granted, ending: Ending, outcome: StoredOutcome | None
     ) -> None:
-        until = self._deadline(INSIST_MS)
-        while self._core.clock.now() < until:
-            await self._core.clock.async_sleep(INSIST_DELAY_MS)
-            answer = await self._async_end(claim, ending, outcome, until)
+        deadline = self._deadline(ENDING_RETRY_MS)
+        while self._core.clock.now() < deadline:
+            await self._core.clock.async_sleep(ENDING_RETRY_DELAY_MS)
+            answer = await self._async_end(claim, ending, outcome, deadline)
             if not isinstance(answer, NoAnswer) and answer.code != AnswerCode.UNAVAILABLE:
                 return
-        _LOGGER.warning("Claim of request %s was not ended", claim.request.request_id)
+        _LOGGER.warning("Could not end the claim of request %s", claim.request.request_id)
 
     async def _async_settle_later(self, claim: Granted, outcome: Outcome) -> None:
-        stored = await self._async_store_body(claim, outcome, self._deadline(INSIST_MS))
+        stored = await self._async_store_body(claim, outcome, self._deadline(ENDING_RETRY_MS))
         if stored is not None:
-            await self._async_insist(claim, Ending.SETTLED, stored)
+            await self._async_retry_ending(claim, Ending.SETTLED, stored)
 
     async def _async_store_body(
         self, claim: Granted, outcome: Outcome, deadline: Millis
     ) -> StoredOutcome | None:
-        """Return the outcome with a large body put into an object; None if not in time."""
+        """Return the outcome, a large body stored as an object; None if that was not done in time."""
         if len(outcome.body) <= MAX_INLINE_BODY_BYTES:
             return StoredOutcome(outcome.status, outcome.content_type, outcome.body)
         name = f"{OBJECT_PREFIX}{claim.claim_id}"
--- a/tests/components/claims/test_claims.py
+++ b/tests/components/claims/test_claims.py
@@ -1,4 +1,4 @@
-"""At most one run a key, through resends, lost answers, lost VMs and outages."""
+"""At most one run per key, with resends, lost answers, lost VMs and outages."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -43,8 +43,8 @@
     return ClaimRequest("acme", key, fingerprint, request_id, repeatable)
 
 
-def split(fleet: Fleet, key: str = "k") -> tuple[Vm, Vm, Vm]:
-    """Return the owner of a key and the other two VMs."""
+def split_by_role(fleet: Fleet, key: str = "k") -> tuple[Vm, Vm, Vm]:
+    """Return the owner of a key, then the other two VMs."""
     vms = list(fleet.vms.values())
     index = vms[0].ledger.find_index(f"claim/acme/{key}")
     vms.sort(key=lambda vm: vm.ledger.get_owned(index) is None)
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize("runner", [0, 1], ids=["at the owner", "elsewhere"])
 def test_a_resend_joins_the_run_then_reads_its_outcome(outcome: Outcome, runner: int) -> None:
     async def async_body(fleet: Fleet) -> None:
-        first, resend = split(fleet)[runner], split(fleet)[2]
+        first, resend = split_by_role(fleet)[runner], split_by_role(fleet)[2]
         granted = await async_grant(first, make_request())
         joined = (await resend.claims.async_claim(make_request("r2"), 5000)).unwrap()
         assert isinstance(joined, Joined)
@@ -83,14 +83,14 @@
 
 
 @pytest.mark.parametrize("repeatable", [False, True])
-def test_a_claim_whose_runner_died_runs_again_only_if_it_may(repeatable: bool) -> None:
-    """A VM dies while it books a ground, and the caller sends the request again elsewhere.
+def test_a_claim_whose_runner_died_runs_again_only_if_repeatable(repeatable: bool) -> None:
+    """A VM dies while it books a ground, and the caller sends the request again to another VM.
 
-    Nobody knows whether the ground was booked. Running it again could book two.
+    It is unknown whether the ground was booked; running the request again could book it twice.
     """
 
     async def async_body(fleet: Fleet) -> None:
-        _, runner, other = split(fleet)
+        _, runner, other = split_by_role(fleet)
         granted = await async_grant(runner, make_request(repeatable=repeatable))
         fleet.kill(runner.session_id)
         fleet.forget(runner.session_id)
@@ -105,11 +105,11 @@
     run_fleet(async_body)
 
 
-def test_the_owner_of_the_key_dies_right_after_the_grant() -> None:
-    """The owner grants a claim and dies; the runner runs on and settles with the next owner."""
+def test_a_run_is_settled_although_the_owner_of_its_key_died() -> None:
+    """The owner grants a claim and dies; the runner continues and settles with the next owner."""
 
     async def async_body(fleet: Fleet) -> None:
-        owner, runner, other = split(fleet)
+        owner, runner, other = split_by_role(fleet)
         granted = await async_grant(runner, make_request())
         fleet.kill(owner.session_id)
         settling = asyncio.ensure_future(runner.claims.async_settle(granted, SMALL, 30_000))
@@ -122,33 +122,33 @@
     run_fleet(async_body)
 
 
-def test_a_lost_answer_to_a_claim_message_is_recognised() -> None:
-    """The owner grants a claim and its answer is lost; the asker sends the message again.
+def test_a_repeated_claim_message_gets_its_own_grant() -> None:
+    """The owner grants a claim and its answer is lost; the requester sends the message again.
 
-    It must get its own grant, not join a run that nobody runs.
+    It must get its own grant, not join a run that does not exist.
     """
 
     async def async_body(fleet: Fleet) -> None:
         fleet.network.lose_answers = 1
-        await async_grant(split(fleet)[1], make_request())
+        await async_grant(split_by_role(fleet)[1], make_request())
 
     run_fleet(async_body)
 
 
 @pytest.mark.parametrize("ending", ["release", "give up"])
 def test_a_claim_that_did_not_run_can_be_claimed_again(ending: str) -> None:
-    """A claim is given back, or its asker gives up while all answers are lost.
+    """A claim is released, or its requester gives up while all answers are lost.
 
-    A resend must be granted; joining would wait for a run that never comes.
+    A resend must be granted; joining would wait for a run that never starts.
     """
 
     async def async_body(fleet: Fleet) -> None:
-        _, asker, other = split(fleet)
+        _, requester, other = split_by_role(fleet)
         if ending == "release":
-            await asker.claims.async_release(await async_grant(asker, make_request()))
+            await requester.claims.async_release(await async_grant(requester, make_request()))
         else:
             fleet.network.lose_answers = 1
-            problem = await async_find_problem(asker, make_request(), 2)
+            problem = await async_find_problem(requester, make_request(), 2)
             assert problem is ClaimProblem.UNAVAILABLE
             await fleet.clock.async_sleep(5000)
         await async_grant(other, make_request("r2"))
@@ -156,11 +156,11 @@
     run_fleet(async_body)
 
 
-def test_a_store_that_is_down_is_said_and_nothing_is_held() -> None:
-    """The store is down for minutes; a claim is refused, and a finished run is kept until it is back."""
+def test_a_store_outage_is_reported_and_holds_no_claim() -> None:
+    """The store is down for minutes; claims are refused, and a finished run is settled afterwards."""
 
     async def async_body(fleet: Fleet) -> None:
-        owner, runner, other = split(fleet)
+        owner, runner, other = split_by_role(fleet)
         granted = await async_grant(runner, make_request())
         fleet.platform.faults.down = True
         settled = await runner.claims.async_settle(granted, SMALL, 2000)
@@ -178,18 +178,18 @@
 
 
 def test_a_late_outcome_replaces_unknown_but_not_another_run() -> None:
-    """A runner is paused so long that it is held for lost, and then settles after all."""
+    """A runner is paused so long that it is considered lost, and settles its claims afterwards."""
 
     async def async_body(fleet: Fleet) -> None:
-        _, runner, other = split(fleet)
-        once = await async_grant(runner, make_request())
-        twice = await async_grant(runner, make_request(key="again", repeatable=True))
+        _, runner, other = split_by_role(fleet)
+        single_run = await async_grant(runner, make_request())
+        repeatable_run = await async_grant(runner, make_request(key="again", repeatable=True))
         fleet.forget(runner.session_id)
         await fleet.clock.async_sleep(40_000)
         assert await async_find_problem(other, make_request("r2")) is ClaimProblem.OUTCOME_UNKNOWN
         await async_grant(other, make_request("r2", key="again", repeatable=True))
-        assert (await runner.claims.async_settle(once, SMALL, 5000)).is_ok()
-        taken = await runner.claims.async_settle(twice, SMALL, 5000)
+        assert (await runner.claims.async_settle(single_run, SMALL, 5000)).is_ok()
+        taken = await runner.claims.async_settle(repeatable_run, SMALL, 5000)
         assert taken.unwrap_err().problem is ClaimProblem.OUTCOME_UNKNOWN
         again = (await other.claims.async_claim(make_request("r3"), 5000)).unwrap()
         assert again == Finished(SMALL)
@@ -199,7 +199,7 @@
 
 def test_abandoned_and_handed_over_claims_stay_unknown() -> None:
     async def async_body(fleet: Fleet) -> None:
-        owner, runner, other = split(fleet)
+        owner, runner, other = split_by_role(fleet)
         await runner.claims.async_abandon(await async_grant(runner, make_request()))
         fleet.set_state(owner.session_id, MemberState.LEAVING)
         await fleet.clock.async_sleep(5000)
@@ -217,7 +217,7 @@
     monkeypatch.setattr(retention, "RETENTION_TICKS", 3)
 
     async def async_body(fleet: Fleet) -> None:
-        _, runner, _ = split(fleet)
+        _, runner, _ = split_by_role(fleet)
         granted = await async_grant(runner, make_request())
         await runner.claims.async_settle(granted, LARGE, 5000)
         await fleet.clock.async_sleep(ticks * TICK_MS)
@@ -228,21 +228,21 @@
     run_fleet(async_body)
 
 
-def test_a_claim_message_that_its_release_overtook_is_not_granted() -> None:
-    """A secretary sends a booking again and again, and hears "out of time" for as long as a VM lives.
+def test_a_claim_message_that_arrives_after_its_release_is_not_granted() -> None:
+    """The owner reads a release before the claim message that it belongs to.
 
-    The owner's VM is paused for seconds; the asker gives the link with its claim message up and
-    gives the claim back over a new one. The owner wakes and reads the release first, the message
-    then: granted, nobody would run the claim, and each resend would join a run that never ends.
+    The owner's VM is paused for seconds; the requester closes the link with its claim message and
+    sends the release over a new one. If the owner granted the claim after the release, nothing
+    would run, and each resend would join a run that never ends and time out.
     """
 
     async def async_body(fleet: Fleet) -> None:
-        owner, asker, other = split(fleet)
-        keeper = owner.claims._keeper
+        owner, requester, other = split_by_role(fleet)
+        claim_owner = owner.claims._claim_owner
         release = SettleMessage("acme", "k", "", "r1", int(Ending.RELEASED), 1000, None)
         late = ClaimMessage("acme", "k", "f", "r1", False, 1000)
-        await keeper.async_end(asker.session_id, release)
-        answer = await keeper.async_claim(asker.session_id, late)
+        await claim_owner.async_end(requester.session_id, release)
+        answer = await claim_owner.async_claim(requester.session_id, late)
         assert answer.code == AnswerCode.UNAVAILABLE
         await async_grant(other, make_request("r2"))
 
--- a/tests/components/claims/test_histories.py
+++ b/tests/components/claims/test_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of resent requests on a faulty fleet: at most one run where it must be."""
+"""Random histories of resent requests on a faulty fleet: at most one run if not repeatable."""
 
 import asyncio
 from collections import Counter
@@ -35,7 +35,7 @@
 
 
 class ClaimHistory(RuleBasedStateMachine):
-    """Callers send three keys again and again; the last key's call may be repeated."""
+    """Callers send requests with three keys repeatedly; only the last key's are repeatable."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -108,7 +108,7 @@
 
     @rule(number=st.integers(0, 5), is_kill=st.booleans())
     def lose_vm(self, number: int, is_kill: bool) -> None:
-        """Kill a VM, or expire one that still runs, and start another."""
+        """Kill a VM, or expire the session of one that still runs, and start another."""
         alive = [vm for vm in self.list_alive() if vm.session_id in self.fleet.members]
         if len(alive) < 2 or len(self.fleet.vms) > 5:
             return
@@ -142,12 +142,12 @@
 
 
 def test_histories_run_nothing_twice() -> None:
-    """VMs die or expire, answers are lost and the store fails while callers send again."""
+    """VMs die or expire, answers are lost and the store fails while callers resend requests."""
     run_state_machine_as_test(ClaimHistory, settings=SETTINGS)
 
 
 def plant_rerun(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Run a call again whose runner is gone, whether it may be repeated or not."""
+    """Grant a claim whose runner is gone, whether it is repeatable or not."""
 
     def decide(found: Any, wanted: Any) -> Any:
         return decisions.Decision(AnswerCode.GRANTED, wanted)
@@ -156,7 +156,7 @@
 
 
 def plant_undurable_grant(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Grant without writing the claim."""
+    """Grant claims without writing them."""
 
     def decide(found: Any, wanted: Any, is_gone: Any) -> Any:
         return replace(genuine(found, wanted, is_gone), write=None)
