--- a/goldcreststair/components/claims/protocols.py
+++ b/goldcreststair/components/claims/protocols.py
@@ -100,7 +100,7 @@
         """Release a claim whose request certainly did not run."""
 
     async def async_abandon(self, claim: Granted) -> None:
-        """Record that the run's outcome is unknown for good."""
+        """Record that the run's outcome is permanently unknown."""
 
     async def async_wait(self, claim: Joined, timeout_ms: int) -> Result[Outcome, ClaimError]:
         """Wait for the outcome of a run that was joined."""
--- a/goldcreststair/components/claims/service.py
+++ b/goldcreststair/components/claims/service.py
@@ -141,7 +141,7 @@
         await self._async_end_or_retry(claim, Ending.RELEASED)
 
     async def async_abandon(self, claim: Granted) -> None:
-        """Record that the run's outcome is unknown for good."""
+        """Record that the run's outcome is permanently unknown."""
         await self._async_end_or_retry(claim, Ending.ABANDONED)
 
     async def async_wait(self, claim: Joined, timeout_ms: int) -> Result[Outcome, ClaimError]:
--- a/tests/components/claims/test_histories.py
+++ b/tests/components/claims/test_histories.py
@@ -149,8 +149,8 @@
 def plant_rerun(monkeypatch: pytest.MonkeyPatch) -> None:
     """Grant a claim whose runner is gone, whether it is repeatable or not."""
 
-    def decide(found: Any, wanted: Any) -> Any:
-        return decisions.Decision(AnswerCode.GRANTED, wanted)
+    def decide(found: Any, new_record: Any) -> Any:
+        return decisions.Decision(AnswerCode.GRANTED, new_record)
 
     monkeypatch.setattr(decisions, "_decide_lost_run", decide)
 
@@ -158,8 +158,8 @@
 def plant_undurable_grant(monkeypatch: pytest.MonkeyPatch) -> None:
     """Grant claims without writing them."""
 
-    def decide(found: Any, wanted: Any, is_gone: Any) -> Any:
-        return replace(genuine(found, wanted, is_gone), write=None)
+    def decide(found: Any, new_record: Any, is_gone: Any) -> Any:
+        return replace(genuine(found, new_record, is_gone), write=None)
 
     genuine = decisions.decide_claim
     monkeypatch.setattr(owner, "decide_claim", decide)
