--- a/goldcreststair/components/configuration/decoding_cache.py
+++ b/goldcreststair/components/configuration/decoding_cache.py
@@ -1,4 +1,4 @@
-"""Remembers decoded entries, so that a patched document costs what the patch touches."""
+"""Caches decoded entries, so that decoding a patched document costs only its changed entries."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
@@ -7,7 +7,7 @@
 T = TypeVar("T")
 
 Decode = Callable[[str, Any, str], T]
-"""Takes an entry's name, its JSON and its path; returns what it stands for."""
+"""Decodes an entry, given its name, its JSON and its path in the document."""
 
 
 @dataclass(slots=True)
@@ -17,23 +17,23 @@
 
 
 class DecodingCache:
-    """The last document's entries. A merge patch keeps untouched entries as the same objects.
+    """Entries of the last document; a merge patch keeps unchanged entries as the same objects.
 
-    Decoding 3,100 upstreams takes 41 ms in one piece, at each of 3,800 changes a day: it shows as a
-    stutter of every stream that the daemon relays.
+    Without it, decoding 3,100 upstreams blocks the event loop for 41 ms at each of 3,800 changes a
+    day, which delays every stream that the daemon relays.
     """
 
     def __init__(self) -> None:
-        """Remember nothing yet."""
+        """Create an empty cache."""
         self._sections: dict[str, _Section] = {}
 
     def decode(self, name: str, raw: Mapping[str, Any], decode: Decode[T]) -> dict[str, T]:
-        """Return a section decoded; entries that are the same objects as last time are reused."""
-        last = self._sections.get(name, _Section())
+        """Return a decoded section; entries that are the same objects as last time are reused."""
+        previous = self._sections.get(name, _Section())
         decoded = {
             key: (
-                last.decoded[key]
-                if last.raw.get(key) is entry and key in last.decoded
+                previous.decoded[key]
+                if previous.raw.get(key) is entry and key in previous.decoded
                 else decode(key, entry, f"{name}.{key}")
             )
             for key, entry in raw.items()
--- a/goldcreststair/components/configuration/document.py
+++ b/goldcreststair/components/configuration/document.py
@@ -1,4 +1,4 @@
-"""The configuration document: JSON as operators write it, checked field by field."""
+"""Validates and decodes the configuration document, JSON that operators write."""
 
 from collections.abc import Mapping
 from typing import Any, Final, TypeVar
@@ -45,7 +45,7 @@
 
 
 class _FieldError(Exception):
-    """Carries the offending field up to `decode_document`."""
+    """An invalid field; `decode_document` converts it to `DocumentInvalid`."""
 
     def __init__(self, field: str, message: str) -> None:
         super().__init__(message)
@@ -53,34 +53,34 @@
 
 
 def is_key_hash(text: str) -> bool:
-    """Return whether a text has the form in which keys are kept."""
+    """Return whether a text is a SHA-256 in lower-case hex, the form in which keys are stored."""
     return len(text) == KEY_HASH_LENGTH and set(text) <= set("0123456789abcdef")
 
 
 def decode_document(
-    version: int, document: Document, memory: DecodingCache | None = None
+    version: int, document: Document, cache: DecodingCache | None = None
 ) -> Result[Configuration, DocumentInvalid]:
-    """Check a document and return it as a configuration; the error names the field.
+    """Validate a document and return it as a configuration; the error names the field.
 
-    With `memory`, entries that the last document decoded with it held as well are reused.
+    Entries unchanged since the last document that was decoded with the same `cache` are reused.
     """
     try:
-        return Ok(_decode(version, document, memory or DecodingCache()))
+        return Ok(_decode(version, document, cache or DecodingCache()))
     except _FieldError as error:
         return Err(DocumentInvalid(str(error), error.field))
 
 
-def _decode(version: int, document: Document, memory: DecodingCache) -> Configuration:
+def _decode(version: int, document: Document, cache: DecodingCache) -> Configuration:
     if not isinstance(document, Mapping):
         raise _FieldError("", "must be an object")
     for section in document:
         if section not in SECTIONS:
             raise _FieldError(section, "unknown section")
-    customers = _decode_section(memory, document, "customers", _decode_customer)
+    customers = _decode_section(cache, document, "customers", _decode_customer)
     withdrawn = frozenset(_read_names(document, "withdrawn"))
     for key_hash in withdrawn:
         _check_hash(key_hash, f"withdrawn.{key_hash}")
-    keys = _decode_section(memory, document, "keys", _decode_key)
+    keys = _decode_section(cache, document, "keys", _decode_key)
     for key_hash, customer in keys.items():
         if customer not in customers:
             raise _FieldError(f"keys.{key_hash}", f"unknown customer {customer!r}")
@@ -89,26 +89,26 @@
         customers=customers,
         keys={key: customer for key, customer in keys.items() if key not in withdrawn},
         withdrawn=withdrawn,
-        upstreams=_decode_section(memory, document, "upstreams", _decode_upstream),
+        upstreams=_decode_section(cache, document, "upstreams", _decode_upstream),
         leaving_upstreams=frozenset(_read_names(document, "leaving_upstreams")),
         leaving_vms=frozenset(_read_names(document, "leaving_vms")),
-        routes=tuple(_decode_section(memory, document, "routes", _decode_route).values()),
+        routes=tuple(_decode_section(cache, document, "routes", _decode_route).values()),
         objectives=tuple(
-            _decode_section(memory, document, "objectives", _decode_objective).values()
+            _decode_section(cache, document, "objectives", _decode_objective).values()
         ),
         models=_decode_section(
-            memory, document, "models", lambda _, raw, field: _read_text(raw, field)
+            cache, document, "models", lambda _, raw, field: _read_text(raw, field)
         ),
     )
 
 
 def _decode_section(
-    memory: DecodingCache, document: Document, name: str, decode: Decode[T]
+    cache: DecodingCache, document: Document, name: str, decode: Decode[T]
 ) -> dict[str, T]:
     section = document.get(name, {})
     if not isinstance(section, Mapping):
         raise _FieldError(name, "must be an object")
-    return memory.decode(name, section, decode)
+    return cache.decode(name, section, decode)
 
 
 def _decode_customer(name: str, raw: Any, field: str) -> Customer:
@@ -220,19 +220,19 @@
 
 def _read_text(value: Any, field: str) -> str:
     if not isinstance(value, str) or not value:
-        raise _FieldError(field, "must be a text that is not empty")
+        raise _FieldError(field, "must be a non-empty string")
     return value
 
 
 def _read_list(raw: Mapping[str, Any], name: str, field: str) -> tuple[str, ...]:
     values = raw.get(name, [])
     if not isinstance(values, list) or not all(isinstance(value, str) for value in values):
-        raise _FieldError(f"{field}.{name}", "must be a list of texts")
+        raise _FieldError(f"{field}.{name}", "must be a list of strings")
     return tuple(values)
 
 
 def _read_names(document: Document, name: str) -> list[str]:
-    """Return the keys of a section that is a set: `{"name": true}`, so that patches can merge."""
+    """Return the names in a section that is a set, `{"name": true}`, so that patches can merge it."""
     section = document.get(name, {})
     if not isinstance(section, Mapping):
         raise _FieldError(name, "must be an object")
--- a/goldcreststair/components/configuration/errors.py
+++ b/goldcreststair/components/configuration/errors.py
@@ -7,27 +7,27 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationError(GoldcreststairError):
-    """A configuration call that changed nothing, unless it says otherwise."""
+    """A failed configuration call, which changed nothing unless the subclass says otherwise."""
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentInvalid(ConfigurationError):
-    """The document does not validate."""
+    """The document is invalid."""
 
     field: str = ""
-    """Path of the offending field, as `customers.acme.rate_per_s`."""
+    """Path of the invalid field, such as `customers.acme.rate_per_s`."""
 
 
 @dataclass(frozen=True, slots=True)
 class VersionStale(ConfigurationError):
-    """The patch names a version that is not the current one."""
+    """The patch was made for a version that is not the current one."""
 
     current: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class StoreUnavailable(ConfigurationError):
-    """The platform's table could not be reached."""
+    """The platform's table is unavailable."""
 
     outcome_known: bool = True
-    """False if the patch may have taken effect; send it again with the same patch id."""
+    """False if the patch may have taken effect; it can be sent again with the same patch id."""
--- a/goldcreststair/components/configuration/models.py
+++ b/goldcreststair/components/configuration/models.py
@@ -1,4 +1,4 @@
-"""One version of the configuration, as every daemon holds it."""
+"""Configuration as every daemon holds it in memory."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -10,26 +10,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """One customer and its limits over the whole fleet."""
+    """One customer and its limits, which apply to the whole fleet together."""
 
     name: str
     rate_per_s: float
-    """Requests a second, over all VMs together."""
+    """Requests per second, over all VMs together."""
     burst: int
-    """Requests that may come at once on top of the rate."""
+    """Requests that may arrive at once in addition to the rate."""
     weight: float = 1.0
-    """Share among customers when upstreams are short."""
+    """Relative share among customers when upstreams have too little capacity."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceRoute:
-    """One call of a plain service."""
+    """One route of a service, by method and path."""
 
     service: str
     method: str
     path: str
     repeatable: bool
-    """Whether running it twice does no harm."""
+    """Whether the call may run twice without harm."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,23 +39,23 @@
     name: str
     customer: str
     threshold_ms: int
-    """A request is good if its first token came within this time."""
+    """A request is good if its first token arrives within this time."""
     target: float
-    """Fraction of requests that shall be good, as 0.95."""
+    """Fraction of requests that have to be good, such as 0.95."""
     window_s: int = 2_592_000
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """Everything operators decide."""
+    """One version of all settings that operators decide."""
 
     version: int = 0
-    """0 stands for none seen yet."""
+    """0 if none was received yet."""
     customers: Mapping[str, Customer] = field(default_factory=dict)
     keys: Mapping[str, str] = field(default_factory=dict)
-    """SHA-256 of a key, in hex, to the customer's name; only keys not withdrawn."""
+    """Customer's name by the SHA-256 of its key in hex, without withdrawn keys."""
     withdrawn: frozenset[str] = frozenset()
-    """SHA-256 of withdrawn keys; only grows."""
+    """SHA-256 of withdrawn keys in hex; no key is ever removed from it."""
     upstreams: Mapping[str, Upstream] = field(default_factory=dict)
     leaving_upstreams: frozenset[str] = frozenset()
     """Names of upstreams that operators take out of service."""
@@ -64,7 +64,7 @@
     routes: tuple[ServiceRoute, ...] = ()
     objectives: tuple[Objective, ...] = ()
     models: Mapping[str, str] = field(default_factory=dict)
-    """Model name to its wanted version."""
+    """Desired version of each model, by its name."""
 
 
 CONFIGURATION: Final = SectionKey[Configuration]("configuration")
--- a/goldcreststair/components/configuration/store.py
+++ b/goldcreststair/components/configuration/store.py
@@ -1,4 +1,4 @@
-"""The current version's row: read, and patched by compare-and-set."""
+"""Stores the configuration: reads the current version's row and patches it by compare-and-set."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -29,32 +29,32 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredVersion:
-    """One version as the row holds it; the row's own version is the configuration's number."""
+    """One version as stored in the row; the row's own version is the configuration's number."""
 
     version: int
     document: dict[str, Any]
     patches: Mapping[str, int]
-    """The last patch ids and the versions they made."""
+    """Versions that the last patches made, by patch id."""
 
     def encode(self) -> bytes:
-        """Return the row's value."""
+        """Return the value to store in the row."""
         return orjson.dumps({"patches": dict(self.patches), "document": self.document})
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
-    """A patch that took effect."""
+class AppliedPatch:
+    """Result of a patch that took effect."""
 
     version: int
-    """The version it made; later ones may have followed."""
+    """The version that the patch made; later ones may have followed."""
     current: StoredVersion
     configuration: Configuration
-    """The current version decoded."""
+    """The current version, decoded."""
 
 
 @dataclass(frozen=True, slots=True)
 class HistoryEntry:
-    """What made one version."""
+    """The patch that made one version."""
 
     version: int
     patch_id: str
@@ -62,13 +62,13 @@
 
 
 def decode_stored(version: int, value: bytes) -> StoredVersion:
-    """Return the version that a row's value holds."""
+    """Decode the version in a row's value."""
     raw = orjson.loads(value)
     return StoredVersion(version, raw["document"], raw["patches"])
 
 
-def advance(stored: StoredVersion, entry: HistoryEntry) -> StoredVersion:
-    """Return the version that a patch makes of the one before it."""
+def apply_entry(stored: StoredVersion, entry: HistoryEntry) -> StoredVersion:
+    """Return the version that results from applying a patch to the version before it."""
     patches = [*stored.patches.items(), (entry.patch_id, entry.version)][-RECENT_PATCHES:]
     document = merge_patch(stored.document, entry.patch)
     return StoredVersion(entry.version, document, dict(patches))
@@ -85,10 +85,10 @@
 
 
 class ConfigurationStore:
-    """Reads and patches the current version."""
+    """Reads and patches the current version of the configuration."""
 
     def __init__(self, table: TableService) -> None:
-        """Use the platform's table."""
+        """Create a store in the platform's table."""
         self._table = table
 
     async def async_read(self) -> Result[StoredVersion, ConfigurationError]:
@@ -101,7 +101,7 @@
     async def async_read_history(
         self, after_version: int = 0, limit: int = 100
     ) -> Result[tuple[HistoryEntry, ...], ConfigurationError]:
-        """Return what made the versions after `after_version`, oldest first."""
+        """Return the patches that made the versions after `after_version`, oldest first."""
         after = _name_history(after_version)
         rows = await self._table.async_scan(ROW_HISTORY, after, limit)
         if isinstance(rows, Err):
@@ -116,13 +116,13 @@
 
     async def async_patch(
         self, base_version: int, patch_id: str, patch: Any
-    ) -> Result[Applied, ConfigurationError]:
-        """Apply a merge patch to `base_version`; the same patch id again is not applied twice."""
+    ) -> Result[AppliedPatch, ConfigurationError]:
+        """Apply a merge patch to `base_version`; a repeated patch id is not applied again."""
         read = await self.async_read()
         if isinstance(read, Err):
             return read
         current = read.ok_value
-        # Sent again after a lost answer: it took effect, maybe with other patches after it.
+        # Sent again after a lost answer: the patch took effect, perhaps followed by others.
         if patch_id in current.patches:
             return _find_applied(current, patch_id)
         if current.version != base_version:
@@ -138,9 +138,9 @@
 
     async def _async_settle(
         self, error: PlatformError, patch_id: str
-    ) -> Result[Applied, ConfigurationError]:
+    ) -> Result[AppliedPatch, ConfigurationError]:
         if isinstance(error, RowConflict):
-            # The row is read anew: the conflict may be on the history row, which has no version.
+            # The conflict may be on the history row, whose version says nothing, so the row is read.
             read = await self.async_read()
             version = read.ok_value.version if isinstance(read, Ok) else 0
             if isinstance(read, Ok) and patch_id in read.ok_value.patches:
@@ -154,26 +154,26 @@
         return Err(StoreUnavailable(error.message, outcome_known=False))
 
 
-def _find_applied(stored: StoredVersion, patch_id: str) -> Result[Applied, ConfigurationError]:
+def _find_applied(stored: StoredVersion, patch_id: str) -> Result[AppliedPatch, ConfigurationError]:
     decoded = decode_document(stored.version, stored.document)
     if isinstance(decoded, Err):
         return decoded
-    return Ok(Applied(stored.patches[patch_id], stored, decoded.ok_value))
+    return Ok(AppliedPatch(stored.patches[patch_id], stored, decoded.ok_value))
 
 
 def _prepare(
     current: StoredVersion, patch_id: str, patch: Any
 ) -> Result[StoredVersion, ConfigurationError]:
-    """Return the version that a patch makes, checked."""
+    """Return the version that a patch makes, after validating it."""
     if not isinstance(patch, Mapping):
         return Err(DocumentInvalid("must be an object", "patch"))
-    stored = advance(current, HistoryEntry(current.version + 1, patch_id, patch))
+    stored = apply_entry(current, HistoryEntry(current.version + 1, patch_id, patch))
     decoded = decode_document(stored.version, stored.document)
     if isinstance(decoded, Err):
         return decoded
     before = decode_document(current.version, current.document)
     known = before.ok_value.withdrawn if isinstance(before, Ok) else frozenset()
-    # A withdrawn key that came back would work again on VMs that had stopped it.
+    # A withdrawn key must stay withdrawn, or it would work again on VMs that refused it.
     for key_hash in sorted(known - decoded.ok_value.withdrawn):
         message = "a withdrawn key cannot be taken back"
         return Err(DocumentInvalid(message, f"withdrawn.{key_hash}"))
--- a/goldcreststair/components/configuration/version_tracker.py
+++ b/goldcreststair/components/configuration/version_tracker.py
@@ -1,46 +1,47 @@
-"""Decides from whom to take a newer version."""
+"""Chooses the source of a newer version; no I/O."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(slots=True)
-class Spread:
-    """Which version is in force here, and who is said to have a newer one.
+class VersionTracker:
+    """Version in force on this VM, and peers that report a newer one.
 
-    >>> spread = Spread(in_force=3)
-    >>> spread.hear(2, "a"), spread.choose()
+    >>> tracker = VersionTracker(in_force=3)
+    >>> tracker.record_offer(2, "a"), tracker.choose_source()
     (None, None)
-    >>> spread.hear(4, "a"), spread.choose(), spread.choose(), spread.choose()
-    (None, 'a', '', 'a')
+    >>> tracker.record_offer(4, "a")
+    >>> tracker.choose_source(), tracker.choose_source(), tracker.choose_source()
+    ('a', '', 'a')
     """
 
     in_force: int = 0
-    _heard: dict[str, int] = field(default_factory=dict)
+    _offers: dict[str, int] = field(default_factory=dict)
     _tried: set[str] = field(default_factory=set)
 
-    def hear(self, version: int, session_id: str) -> None:
-        """Take what a peer says it has; an older version is no news."""
+    def record_offer(self, version: int, session_id: str) -> None:
+        """Record the version that a peer reports; it is ignored if not newer than the one in force."""
         if version > self.in_force:
-            self._heard[session_id] = version
+            self._offers[session_id] = version
 
     def is_newer(self, version: int) -> bool:
-        """Return whether a version may replace the one in force: never an older or equal one."""
+        """Return whether a version is newer than the one in force, which it then may replace."""
         return version > self.in_force
 
     def advance(self, version: int) -> None:
-        """Note a version that is in force now."""
+        """Set the version that is in force now; earlier reports of it and older ones are dropped."""
         self.in_force = max(self.in_force, version)
-        self._heard = {key: heard for key, heard in self._heard.items() if heard > version}
+        self._offers = {key: offered for key, offered in self._offers.items() if offered > version}
         self._tried.clear()
 
-    def choose(self) -> str | None:
+    def choose_source(self) -> str | None:
         """Return the next source to try: a session id, "" for the store, None if not behind.
 
-        The peer with the highest version comes first, then the store, then the others.
+        The peer with the highest version comes first, then the store, then the other peers.
         """
-        if not self._heard:
+        if not self._offers:
             return None
-        order = sorted(self._heard, key=lambda key: (-self._heard[key], key))
+        order = sorted(self._offers, key=lambda key: (-self._offers[key], key))
         sources = [order[0], "", *order[1:]]
         untried = [source for source in sources if source not in self._tried]
         if not untried:
--- a/tests/components/configuration/test_decoding_cache.py
+++ b/tests/components/configuration/test_decoding_cache.py
@@ -1,4 +1,4 @@
-"""Decoding with memory gives what decoding without it gives."""
+"""Decoding with a cache has the same result as decoding without it."""
 
 from typing import Any
 
@@ -26,27 +26,27 @@
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(PATCHES)
-def test_memory_changes_no_outcome(patches: list[Any]) -> None:
-    """Patches come one after another, some invalid and refused.
+def test_cache_changes_no_outcome(patches: list[Any]) -> None:
+    """Patches are applied one after another, some of them invalid and refused.
 
-    A remembered entry that outlived its change would put an old limit in force under a new
-    version number, on some VMs only.
+    A cached entry that was kept after its change would apply an old limit under a new version
+    number, and only on some VMs.
     """
-    memory = DecodingCache()
+    cache = DecodingCache()
     document: Any = make_document(keys={})
     for version, patch in enumerate(patches):
         patched = merge_patch(document, patch)
-        remembered = decode_document(version, patched, memory)
-        assert remembered == decode_document(version, patched)
-        if not isinstance(remembered, Err):
+        cached = decode_document(version, patched, cache)
+        assert cached == decode_document(version, patched)
+        if not isinstance(cached, Err):
             document = patched
 
 
 def test_untouched_entries_are_not_decoded_again() -> None:
-    memory = DecodingCache()
+    cache = DecodingCache()
     document = make_document()
-    before = decode_document(1, document, memory).unwrap()
+    before = decode_document(1, document, cache).unwrap()
     patched = merge_patch(document, {"customers": {"acme": {"burst": 7}}})
-    after = decode_document(2, patched, memory).unwrap()
+    after = decode_document(2, patched, cache).unwrap()
     assert after.upstreams["e1"] is before.upstreams["e1"]
     assert after.customers["acme"].burst == 7
--- a/tests/components/configuration/test_document.py
+++ b/tests/components/configuration/test_document.py
@@ -1,4 +1,4 @@
-"""The configuration document names the field that is wrong."""
+"""Decoding a configuration document reports the invalid field."""
 
 from typing import Any
 
--- a/tests/components/configuration/test_propagation.py
+++ b/tests/components/configuration/test_propagation.py
@@ -1,4 +1,4 @@
-"""A version is in force everywhere within seconds, and never goes back."""
+"""A version reaches all VMs within seconds and is never replaced by an older one."""
 
 import asyncio
 import dataclasses
@@ -32,13 +32,13 @@
 
 
 async def async_patch(daemon: FakeDaemon, base: int, patch_id: str, patch: Any) -> Any:
-    """Patch as the operators' call does."""
+    """Patch the configuration as the operators' API does."""
     return await daemon.core.get(CONFIGURATION_FOLLOWER).async_patch(base, patch_id, patch)
 
 
 @pytest.mark.parametrize(("count", "store_down"), [(3, False), (40, False), (40, True)])
 def test_patch_is_in_force_everywhere_within_seconds(count: int, store_down: bool) -> None:
-    """The store may go down right after it took the patch: peers must do."""
+    """The store may go down right after the patch, so that peers have to pass it on."""
 
     async def async_test(fleet: FakeDaemons) -> None:
         daemons = await fleet.async_add_many(count)
@@ -51,7 +51,7 @@
     run_fleet(async_test)
 
 
-def test_patch_by_unreachable_vm_comes_by_the_poll() -> None:
+def test_patch_by_unreachable_vm_is_found_by_polling() -> None:
     async def async_test(fleet: FakeDaemons) -> None:
         daemons = await fleet.async_add_many(3)
         await asyncio.sleep(20)
@@ -62,11 +62,11 @@
     run_fleet(async_test)
 
 
-def test_new_vm_in_an_outage_takes_the_highest_version_from_peers() -> None:
+def test_new_vm_in_an_outage_gets_the_highest_version_from_peers() -> None:
     """A VM starts while the table is down.
 
-    Serving without configuration, or with an old one, would accept withdrawn keys; it is not
-    ready until a peer has given it the version in force.
+    With no configuration or an old one it would accept withdrawn keys, so it is not ready until a
+    peer has sent it the version in force.
     """
 
     async def async_test(fleet: FakeDaemons) -> None:
@@ -78,8 +78,8 @@
         table, listing = FakePlatform(fleet.clock), FakePlatform(fleet.clock)
         table.faults.down = True
         listing.set_vms([ListedVm(daemons[1].address, "dc1", ListedState.LIVE)])
-        half = dataclasses.replace(listing.as_platform(), table=table)
-        newcomer = await fleet.async_add(half)
+        partial_platform = dataclasses.replace(listing.as_platform(), table=table)
+        newcomer = await fleet.async_add(partial_platform)
         assert read_version(newcomer) == 0
         await fleet.async_wait(lambda: read_version(newcomer) == 2, 11_000)
         table.faults.down = False
@@ -90,8 +90,8 @@
 
 
 @pytest.mark.parametrize("fault", ["emptied", "older"])
-def test_older_or_empty_store_never_overrides(fault: str) -> None:
-    """The platform's table is restored from an old copy, or comes back empty."""
+def test_older_or_empty_store_never_replaces_the_configuration(fault: str) -> None:
+    """The platform's table is restored from an old copy, or is empty after an outage."""
 
     async def async_test(fleet: FakeDaemons) -> None:
         daemons = await fleet.async_add_many(3)
@@ -110,7 +110,7 @@
 
 
 def make_store() -> tuple[FakePlatform, ConfigurationStore]:
-    """Return a store that is reached without a fleet; call it on a running loop."""
+    """Return a platform and a store on it without a fleet; needs a running event loop."""
     platform = FakePlatform(LoopClock())
     return platform, ConfigurationStore(platform)
 
@@ -118,8 +118,8 @@
 def test_patch_sent_again_is_not_applied_twice() -> None:
     """An operator's patch takes effect and its answer is lost.
 
-    Another operator patches on top; the first sends its patch again with the same id and must
-    hear that it was applied, as which version, and nothing may change.
+    Another operator applies a patch after it. The first sends its patch again with the same id and
+    must be told that it was applied and as which version; nothing may change.
     """
 
     async def async_test() -> None:
@@ -149,8 +149,8 @@
     run_virtual(async_test())
 
 
-def test_racing_patches_one_wins() -> None:
-    """Two operators patch the same version at once: one is told that its number is stale."""
+def test_only_one_of_two_concurrent_patches_is_applied() -> None:
+    """Two operators patch the same version at once: one of them gets `VersionStale`."""
 
     async def async_test() -> None:
         platform, store = make_store()
@@ -167,7 +167,7 @@
     run_virtual(async_test())
 
 
-def test_store_down_says_that_nothing_happened() -> None:
+def test_patch_while_the_store_is_down_reports_that_nothing_changed() -> None:
     async def async_test() -> None:
         platform, store = make_store()
         platform.faults.down = True
@@ -181,7 +181,7 @@
 
 @pytest.mark.parametrize("patch", [{"withdrawn": None}, {"withdrawn": {HASH: None}}])
 def test_withdrawn_key_cannot_be_taken_back(patch: dict[str, Any]) -> None:
-    """A patch that shrinks the set would let a withdrawn key work again on some VMs."""
+    """A patch that removes a withdrawn key would let it work again on some VMs."""
 
     async def async_test() -> None:
         _, store = make_store()
@@ -194,37 +194,37 @@
     run_virtual(async_test())
 
 
-@pytest.mark.parametrize(("patches", "whole"), [(5, 0), (150, 1)])
-def test_vm_that_was_away_catches_up(patches: int, whole: int) -> None:
-    """A VM sees neither peers nor store while versions are made; then its peers come back.
+@pytest.mark.parametrize(("patches", "whole_documents"), [(5, 0), (150, 1)])
+def test_isolated_vm_catches_up(patches: int, whole_documents: int) -> None:
+    """A VM reaches neither peers nor store while versions are made, then its peers again.
 
-    It takes the patches it missed; only if they are more than its peers keep, the whole document.
+    It gets the patches that it missed, and the whole document only if its peers keep fewer.
     """
 
     async def async_test(fleet: FakeDaemons) -> None:
         daemons = await fleet.async_add_many(2)
         private = share_platform(fleet)
-        away = await fleet.async_add(private.as_platform())
+        isolated = await fleet.async_add(private.as_platform())
         await async_patch(daemons[0], 0, "p0", make_document())
-        await fleet.async_wait(lambda: read_version(away) == 1, 11_000)
+        await fleet.async_wait(lambda: read_version(isolated) == 1, 11_000)
         private.faults.down = True
-        fleet.isolate(away)
+        fleet.isolate(isolated)
         for number in range(patches):
             patch = {"models": {f"m{number}": "1"}}
             await async_patch(daemons[0], number + 1, f"q{number}", patch)
         seen: list[Any] = []
-        follower = away.core.get(CONFIGURATION_FOLLOWER)
-        take_copy = follower._take_copy
+        follower = isolated.core.get(CONFIGURATION_FOLLOWER)
+        apply_copy = follower._apply_copy
 
         def spy(copy: Any) -> None:
             seen.append(copy)
-            take_copy(copy)
+            apply_copy(copy)
 
-        follower._take_copy = spy  # type: ignore[method-assign]
+        follower._apply_copy = spy  # type: ignore[method-assign]
         fleet.network.heal()
-        await fleet.async_wait(lambda: read_version(away) == patches + 1, 11_000)
-        assert sum(copy.row is not None for copy in seen) == whole
+        await fleet.async_wait(lambda: read_version(isolated) == patches + 1, 11_000)
+        assert sum(copy.row is not None for copy in seen) == whole_documents
         expected = daemons[0].core.blackboard.read(CONFIGURATION)
-        assert away.core.blackboard.read(CONFIGURATION) == expected
+        assert isolated.core.blackboard.read(CONFIGURATION) == expected
 
     run_fleet(async_test)
