--- a/goldcreststair/components/claims/decisions.py
+++ b/goldcreststair/components/claims/decisions.py
@@ -55,7 +55,7 @@
     holder: tuple[str, str, str],
     outcome: StoredOutcome | None,
 ) -> Decision:
-    """Decide on an ending; `holder` is the session, claim id (or "") and request id of its sender."""
+    """Decide on an ending; `holder` is its sender's session, claim id (or "") and request id."""
     if found is None:
         # A release that is sent again has already removed the record.
         return Decision(AnswerCode.ENDED if ending is Ending.RELEASED else AnswerCode.TAKEN)
--- a/goldcreststair/components/claims/protocols.py
+++ b/goldcreststair/components/claims/protocols.py
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """The caller of `async_claim` runs the request, and must settle, release or abandon the claim."""
+    """The caller of `async_claim` runs the request, and must settle, release or abandon it."""
 
     claim_id: str
     request: ClaimRequest
--- a/goldcreststair/components/claims/service.py
+++ b/goldcreststair/components/claims/service.py
@@ -205,7 +205,7 @@
     async def _async_store_body(
         self, claim: Granted, outcome: Outcome, deadline: Millis
     ) -> StoredOutcome | None:
-        """Return the outcome, a large body stored as an object; None if that was not done in time."""
+        """Return the outcome, a large body stored as an object; None if not in time."""
         if len(outcome.body) <= MAX_INLINE_BODY_BYTES:
             return StoredOutcome(outcome.status, outcome.content_type, outcome.body)
         name = f"{OBJECT_PREFIX}{claim.claim_id}"
--- a/goldcreststair/components/configuration/controller.py
+++ b/goldcreststair/components/configuration/controller.py
@@ -97,14 +97,14 @@
         """Patch the stored version and apply the result on this VM."""
         patched = await self.store.async_patch(base_version, patch_id, patch)
         if isinstance(patched, Ok):
-            # Applies the history row's patch, as a patch sent again with the same id may differ from
-            # the one that took effect.
+            # The history row's patch is applied, as a patch sent again with the same id may differ
+            # from the one that took effect.
             await self.async_poll()
             self._apply_stored(patched.ok_value.current)
         return patched
 
     async def async_poll(self) -> None:
-        """Read the store once; only newer patches are read, so that an unchanged version costs little."""
+        """Read the store once: only newer patches, so that an unchanged version costs little."""
         if self._stored is not None:
             entries = await self.store.async_read_history(self.version, MAX_PATCHES)
             if isinstance(entries, Err):
--- a/goldcreststair/components/configuration/document.py
+++ b/goldcreststair/components/configuration/document.py
@@ -232,7 +232,7 @@
 
 
 def _read_names(document: Document, name: str) -> list[str]:
-    """Return the names in a section that is a set, `{"name": true}`, so that patches can merge it."""
+    """Return the names in a set, written as `{"name": true}` so that patches can merge it."""
     section = document.get(name, {})
     if not isinstance(section, Mapping):
         raise _FieldError(name, "must be an object")
--- a/goldcreststair/components/configuration/store.py
+++ b/goldcreststair/components/configuration/store.py
@@ -140,7 +140,7 @@
         self, error: PlatformError, patch_id: str
     ) -> Result[AppliedPatch, ConfigurationError]:
         if isinstance(error, RowConflict):
-            # The conflict may be on the history row, whose version says nothing, so the row is read.
+            # The row is read again: the conflict may be on the history row, which has no version.
             read = await self.async_read()
             version = read.ok_value.version if isinstance(read, Ok) else 0
             if isinstance(read, Ok) and patch_id in read.ok_value.patches:
--- a/goldcreststair/components/configuration/version_tracker.py
+++ b/goldcreststair/components/configuration/version_tracker.py
@@ -20,7 +20,7 @@
     _tried: set[str] = field(default_factory=set)
 
     def record_offer(self, version: int, session_id: str) -> None:
-        """Record the version that a peer reports; it is ignored if not newer than the one in force."""
+        """Record the version that a peer reports, if it is newer than the one in force."""
         if version > self.in_force:
             self._offers[session_id] = version
 
@@ -29,7 +29,7 @@
         return version > self.in_force
 
     def advance(self, version: int) -> None:
-        """Set the version that is in force now; earlier reports of it and older ones are dropped."""
+        """Set the version that is in force now; only reports of newer ones are kept."""
         self.in_force = max(self.in_force, version)
         self._offers = {key: offered for key, offered in self._offers.items() if offered > version}
         self._tried.clear()
--- a/goldcreststair/components/limits/coordinator_bucket.py
+++ b/goldcreststair/components/limits/coordinator_bucket.py
@@ -26,7 +26,7 @@
 
 
 class CoordinatorBucket:
-    """Keeps level + unspent granted tokens within the burst; all times are the coordinator's own."""
+    """Keeps level + unspent granted tokens within the burst; times are the coordinator's own."""
 
     def __init__(self, allowance: Allowance, now: Millis, level: float = 0.0) -> None:
         """Create a bucket at `level` that refills from `now` on."""
@@ -43,7 +43,7 @@
             self._clip()
 
     def spend(self, now: Millis) -> bool:
-        """Spend one token for a request on the coordinator's own VM; returns whether there was one."""
+        """Spend one token for a request on the coordinator's VM; returns whether there was one."""
         self._advance(now)
         if self._level < 1:
             return False
--- a/goldcreststair/components/limits/coordinators.py
+++ b/goldcreststair/components/limits/coordinators.py
@@ -121,7 +121,7 @@
         ]
 
     def find(self, index: int) -> Coordinator | None:
-        """Return a partition's coordinator; None if not owned or if its epoch was renounced here."""
+        """Return a partition's coordinator; None if it is not owned or was renounced."""
         partition = self._ledger.get_owned(index)
         coordinator = self._coordinators.get(index)
         if partition is None or coordinator is None or coordinator.epoch != partition.epoch:
--- a/goldcreststair/components/limits/granted_tokens.py
+++ b/goldcreststair/components/limits/granted_tokens.py
@@ -84,7 +84,7 @@
                 self._last_used_at = now
 
     def give_up(self, number: int) -> None:
-        """Abandon token request `number`; a grant for it is never spent and is reported as unused."""
+        """Abandon token request `number`; its grant is never spent and is reported as unused."""
         requested_at = self._requested_at.pop(number, None)
         if requested_at is not None:
             expires_at = Millis(requested_at + GRANT_LIFETIME_MS)
--- a/goldcreststair/components/limits/token_requester.py
+++ b/goldcreststair/components/limits/token_requester.py
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class Waiter:
-    """One request that waits for a token; the future's value is the retry time in ms, 0 if admitted."""
+    """One request that waits for a token; its result is the retry time in ms, 0 if admitted."""
 
     future: "asyncio.Future[int]"
 
--- a/tests/components/claims/test_claims.py
+++ b/tests/components/claims/test_claims.py
@@ -157,7 +157,7 @@
 
 
 def test_a_store_outage_is_reported_and_holds_no_claim() -> None:
-    """The store is down for minutes; claims are refused, and a finished run is settled afterwards."""
+    """The store is down for minutes: claims are refused, a finished run is settled later."""
 
     async def async_body(fleet: Fleet) -> None:
         owner, runner, other = split_by_role(fleet)
--- a/tests/components/limits/limit_simulation.py
+++ b/tests/components/limits/limit_simulation.py
@@ -156,7 +156,7 @@
             self.deliver(0)
 
     def request_tokens(self, vm: Vm, wanted: int, target: str = "") -> None:
-        """Send a token request with reports to a VM that assumes to be the owner, rightly or not."""
+        """Send a token request to a VM that assumes, rightly or not, to be the owner."""
         number = next(self.numbers)
         reports = vm.tokens.begin_request(number, self.now(vm))
         claimants = [v.name for v in self.vms.values() if v.ledger.partition is not None]
--- a/tests/components/limits/test_bound.py
+++ b/tests/components/limits/test_bound.py
@@ -156,7 +156,7 @@
 
 
 def run_late_grant_of_old_coordinator() -> float:
-    """Run a grant at the end of a replaced coordinator's lease, spent at the end of its lifetime."""
+    """Run a grant at the end of an old coordinator's lease, spent at the end of its lifetime."""
     simulation = Simulation(1)
     old, requester, new, _ = simulation.vms.values()
     simulation.claim(old)
--- a/tests/components/limits/test_slow_coordinator.py
+++ b/tests/components/limits/test_slow_coordinator.py
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("one_way_ms", [75, 125, 200])
 def test_waits_for_a_late_answer_of_the_coordinator(one_way_ms: int) -> None:
-    """A coordinator on a busy VM answers late and is considered lost: callers in limits get 429."""
+    """A busy coordinator answers late and is considered lost: callers within their rate get 429."""
 
     async def async_test(callers: Callers) -> None:
         callers.fleet.network.delay_ms = one_way_ms
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("paused_ms", [160, 700])
 def test_lost_coordinator_is_noticed_after_a_pause_of_this_process(paused_ms: int) -> None:
-    """This VM is paused while the coordinator is lost: a timeout extended too far delays callers."""
+    """This VM is paused while the coordinator is lost: callers must not wait too long."""
 
     async def async_test(callers: Callers) -> None:
         callers.fleet.network.delay_ms = 60_000
@@ -171,7 +171,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_bound_holds_while_answers_are_late(seed: int) -> None:
-    """Late answers are used beside new token requests: the fleet admits more than rate and burst."""
+    """Late answers are used beside new token requests, and the fleet admits too much."""
 
     async def async_test(callers: Callers) -> None:
         rng = random.Random(seed)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -55,7 +55,7 @@
 def test_a_customer_within_its_rate_is_served_while_its_coordinator_moves(
     async_change: Callable[[FakeDaemons], Coroutine[Any, Any, None]],
 ) -> None:
-    """A customer uses two thirds of its rate over all VMs while its coordinator leaves or a VM joins.
+    """A customer uses two thirds of its rate while its coordinator leaves or a VM joins.
 
     The customer's partition changes its owner. Requests were refused or delayed for up to a second,
     until the next owner had claimed it, although no VM had failed.
