--- a/goldcreststair/components/claims/exchange.py
+++ b/goldcreststair/components/claims/exchange.py
@@ -81,5 +81,5 @@
         assert isinstance(answered, Ok)
         answer = answered.ok_value
         if answer.code == AnswerCode.NOT_OWNER and answer.session:
-            self._ledger.learn_owner(index, answer.session)
+            self._ledger.record_owner(index, answer.session)
         return answer
--- a/goldcreststair/components/claims/keeper.py
+++ b/goldcreststair/components/claims/keeper.py
@@ -28,7 +28,7 @@
     LedgerError,
     Partition,
 )
-from goldcreststair.components.ledger.sessions import SessionWatch
+from goldcreststair.components.ledger.sessions import SessionTracker
 from goldcreststair.core import Core
 from goldcreststair.wire.generated.ledger.ttypes import (
     ClaimAnswer,
@@ -45,7 +45,7 @@
         """Use the ledger."""
         self._core = core
         self._ledger = core.get(LEDGER)
-        self._sessions = SessionWatch(core)
+        self._sessions = SessionTracker(core)
         self._changed: dict[str, asyncio.Event] = {}
         self._released = ReleasedRequests(core.clock)
 
--- a/goldcreststair/components/configuration/controller.py
+++ b/goldcreststair/components/configuration/controller.py
@@ -29,7 +29,7 @@
     advance,
     decode_stored,
 )
-from goldcreststair.components.membership.models import HEARD_VERSION, HeardVersion
+from goldcreststair.components.membership.models import PEER_VERSION, PeerVersion
 from goldcreststair.components.peers.protocols import PEERS
 from goldcreststair.core import ComponentKey, Core
 from goldcreststair.wire.generated.configuration.ttypes import (
@@ -60,7 +60,7 @@
         )
         self._tasks: list[asyncio.Task[None]] = []
         self._catching_up: asyncio.Task[None] | None = None
-        self._unsubscribe = core.blackboard.subscribe(HEARD_VERSION, self._on_heard)
+        self._unsubscribe = core.blackboard.subscribe(PEER_VERSION, self._on_heard)
         self._peers = core.find(PEERS)
         if self._peers is not None:
             self._peers.register(NUMBER_FETCH, FetchConfiguration, self._async_on_fetch)
@@ -148,7 +148,7 @@
             await self._core.clock.async_sleep(DEFAULT_POLL_MS)
             await self.async_poll()
 
-    def _on_heard(self, heard: HeardVersion) -> None:
+    def _on_heard(self, heard: PeerVersion) -> None:
         self._spread.hear(heard.version, heard.session_id)
         if self._catching_up is None or self._catching_up.done():
             self._catching_up = asyncio.create_task(self._async_catch_up())
--- a/goldcreststair/components/ledger/controller.py
+++ b/goldcreststair/components/ledger/controller.py
@@ -27,7 +27,7 @@
 from goldcreststair.components.ledger.plan import list_orphans
 from goldcreststair.components.ledger.protocols import Partition
 from goldcreststair.components.ledger.rendezvous import WantedOwners, find_index
-from goldcreststair.components.ledger.sessions import SessionWatch
+from goldcreststair.components.ledger.sessions import SessionTracker
 from goldcreststair.components.membership.models import MEMBERS, Members, MemberState
 from goldcreststair.const import MS_PER_SECOND
 from goldcreststair.core import Core
@@ -47,7 +47,7 @@
         _LOGGER.exception("A watcher of the ledger failed")
 
 
-class LedgerKeeper:
+class LedgerController:
     """Implements `Ledger` on the platform's table and objects."""
 
     def __init__(self, core: Core) -> None:
@@ -58,7 +58,7 @@
         self._pacer = Pacer(core.clock, FLEET_WRITES_PER_S, BURST_WRITES)
         self._handovers = Pacer(core.clock, FLEET_HANDOVERS_PER_S, 1)
         self._tools = Tools(core, self._heads, self._pacer, self._handle_lost)
-        self._sessions = SessionWatch(core)
+        self._sessions = SessionTracker(core)
         self._wanted = WantedOwners(self._partitions)
         self._mine: tuple[int, ...] = ()
         self._owned: dict[int, OwnedPartition] = {}
@@ -116,7 +116,7 @@
             return self._core.session_id
         return self._beliefs.find(index) or self._wanted.find(index) or None
 
-    def learn_owner(self, index: int, session: str) -> None:
+    def record_owner(self, index: int, session: str) -> None:
         """Believe another VM's or the head row's word on the owner."""
         # A row read while this VM's own release is under way still names it. Believed, it would send
         # this VM's requests to itself until the next read, a second later.
@@ -130,7 +130,7 @@
         if isinstance(read, Err) or not read.ok_value[0].head.owner:
             return None
         owner = read.ok_value[0].head.owner
-        self.learn_owner(index, owner)
+        self.record_owner(index, owner)
         return owner
 
     def watch(self, on_gained: Callable[[Partition], None], on_lost: Callable[[int], None]) -> None:
@@ -263,7 +263,7 @@
             return False
         for index, stored in zip(missing, read.ok_value, strict=True):
             if stored.head.owner not in ("", self._core.session_id):
-                self.learn_owner(index, stored.head.owner)
+                self.record_owner(index, stored.head.owner)
         claimable = [
             (index, stored)
             for index, stored in zip(missing, read.ok_value, strict=True)
--- a/goldcreststair/components/ledger/protocols.py
+++ b/goldcreststair/components/ledger/protocols.py
@@ -76,7 +76,7 @@
     def find_owner(self, index: int) -> str | None:
         """Return the session id believed to own a partition (may be this VM's), else None."""
 
-    def learn_owner(self, index: int, session: str) -> None:
+    def record_owner(self, index: int, session: str) -> None:
         """Believe another VM's word on the owner of a partition."""
 
     async def async_read_owner(self, index: int) -> str | None:
--- a/goldcreststair/components/ledger/sessions.py
+++ b/goldcreststair/components/ledger/sessions.py
@@ -6,7 +6,7 @@
 from goldcreststair.core import Core
 
 
-class SessionWatch:
+class SessionTracker:
     """Sessions as this VM's list of members shows them."""
 
     def __init__(self, core: Core) -> None:
--- a/goldcreststair/components/limits/fleet.py
+++ b/goldcreststair/components/limits/fleet.py
@@ -182,7 +182,7 @@
                 if owner == self._find_owner(name):
                     borrower.refuse_waiters(UNREACHABLE_RETRY_MS)
             elif grant.owner:
-                self._ledger.learn_owner(find_customer_index(self._ledger, name), grant.owner)
+                self._ledger.record_owner(find_customer_index(self._ledger, name), grant.owner)
             return
         borrower.bucket.accept(number, grant.granted, now)
         borrower.serve_waiters(now)
--- a/goldcreststair/components/membership/models.py
+++ b/goldcreststair/components/membership/models.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeardVersion:
+class PeerVersion:
     """The highest configuration version heard from a peer that is not in force here."""
 
     version: int = 0
@@ -62,4 +62,4 @@
     """Who has it."""
 
 
-HEARD_VERSION: Final = SectionKey[HeardVersion]("heard_version")
+PEER_VERSION: Final = SectionKey[PeerVersion]("heard_version")
--- a/goldcreststair/components/membership/service.py
+++ b/goldcreststair/components/membership/service.py
@@ -11,13 +11,13 @@
 from goldcreststair.components.membership.gossip import Gossiper
 from goldcreststair.components.membership.loads import LoadTable
 from goldcreststair.components.membership.models import (
-    HEARD_VERSION,
     MEMBER_LOADS,
     MEMBERS,
-    HeardVersion,
+    PEER_VERSION,
     MemberLoads,
     Members,
     MemberState,
+    PeerVersion,
 )
 from goldcreststair.components.membership.probe import ProcessProbe
 from goldcreststair.components.membership.session import OwnSession
@@ -53,7 +53,7 @@
         board = core.blackboard
         self._members = board.open_section(MEMBERS, self._describe())
         self._loads = board.open_section(MEMBER_LOADS, MemberLoads())
-        self._heard = board.open_section(HEARD_VERSION, HeardVersion())
+        self._heard = board.open_section(PEER_VERSION, PeerVersion())
         self._unsubscribe = board.subscribe(CONFIGURATION, lambda _: self._gossip.push())
 
     async def async_start(self) -> None:
@@ -114,7 +114,7 @@
     def take_version(self, version: int, session_id: str) -> None:
         """Hear which version another daemon has."""
         if session_id and version > self.read_version():
-            self._heard.write(HeardVersion(version, session_id))
+            self._heard.write(PeerVersion(version, session_id))
 
     def take_record(self, record: Record) -> None:
         """Hear news of a session, from the store or from a peer."""
--- a/standins/measure/limit_fleet.py
+++ b/standins/measure/limit_fleet.py
@@ -89,7 +89,7 @@
         """Return the last known owner, which may be stale."""
         return self.stale.get(index) or self._store.owners.get(index)
 
-    def learn_owner(self, index: int, session: str) -> None:
+    def record_owner(self, index: int, session: str) -> None:
         """Do nothing: only a read of the store corrects a stale owner here."""
 
     async def async_read_owner(self, index: int) -> str | None:
--- a/tests/components/ledger/test_handover.py
+++ b/tests/components/ledger/test_handover.py
@@ -159,7 +159,7 @@
         index = list_owned(fleet, "a")[0]
         ledger = fleet.vms["a"].ledger
         lost: list[int] = []
-        ledger.watch(lambda _: None, lambda index: ledger.learn_owner(index, "a"))
+        ledger.watch(lambda _: None, lambda index: ledger.record_owner(index, "a"))
         ledger.watch(lambda _: None, lost.append)
         fleet.set_state("a", MemberState.LEAVING)
         await asyncio.sleep(2)
--- a/tests/helpers/ledger_world.py
+++ b/tests/helpers/ledger_world.py
@@ -119,7 +119,7 @@
     def find_owner(self, index: int) -> str | None:
         return self._world.owners[index] or None
 
-    def learn_owner(self, index: int, session: str) -> None:
+    def record_owner(self, index: int, session: str) -> None:
         pass
 
     async def async_read_owner(self, index: int) -> str | None:
--- a/tests/helpers/ledgers.py
+++ b/tests/helpers/ledgers.py
@@ -63,7 +63,7 @@
     def find_owner(self, index: int) -> str | None:
         return self.session_id
 
-    def learn_owner(self, index: int, session: str) -> None:
+    def record_owner(self, index: int, session: str) -> None:
         pass
 
     async def async_read_owner(self, index: int) -> str | None:
--- a/tests/helpers/vms.py
+++ b/tests/helpers/vms.py
@@ -9,7 +9,7 @@
 from goldcreststair.blackboard import SectionWriter
 from goldcreststair.clock import LoopClock
 from goldcreststair.components.claims.service import ClaimService
-from goldcreststair.components.ledger.controller import LedgerKeeper
+from goldcreststair.components.ledger.controller import LedgerController
 from goldcreststair.components.ledger.protocols import LEDGER, Change, LedgerError, Partition
 from goldcreststair.components.membership.models import MEMBERS, Member, Members, MemberState
 from goldcreststair.components.peers.protocols import PEERS
@@ -70,7 +70,7 @@
         self.core.platform = Platform(self.table, stores.objects, stores.vm_list, stores.weights)
         self.members: SectionWriter[Members] = self.core.blackboard.open_section(MEMBERS, Members())
         self.core.offer(PEERS, fleet.network.join(session_id))
-        self.ledger = LedgerKeeper(self.core)
+        self.ledger = LedgerController(self.core)
         self.core.offer(LEDGER, self.ledger)
         self.claims = ClaimService(self.core)
 
