--- a/goldcreststair/components/ledger/codec.py
+++ b/goldcreststair/components/ledger/codec.py
@@ -5,7 +5,7 @@
 from itertools import islice
 from typing import Any
 
-from goldcreststair.components.ledger.const import PIECE_RECORDS
+from goldcreststair.components.ledger.const import CHUNK_RECORDS
 from goldcreststair.components.ledger.models import Head, StoredHead
 from goldcreststair.components.ledger.protocols import Change
 from goldcreststair.store.models import Row
@@ -14,14 +14,15 @@
 
 
 async def async_encode_changes(changes: Iterable[Change]) -> bytes:
-    """Return the content of a segment or snapshot object: one list after another."""
-    # All at once, 50,000 records stop the loop for some 300 ms, and every online stream with it.
+    """Return the content of a segment or snapshot object: concatenated change lists."""
+    # Encoding 50,000 records at once would block the event loop, and with it every online stream,
+    # for about 300 ms.
     rest = iter(changes)
-    pieces: list[bytes] = []
-    while piece := list(islice(rest, PIECE_RECORDS)):
-        pieces.append(encode_struct(ChangeList(_to_wire(piece))))
+    chunks: list[bytes] = []
+    while chunk := list(islice(rest, CHUNK_RECORDS)):
+        chunks.append(encode_struct(ChangeList(_to_wire(chunk))))
         await asyncio.sleep(0)
-    return b"".join(pieces)
+    return b"".join(chunks)
 
 
 async def async_decode_changes(content: bytes) -> list[Change]:
@@ -51,7 +52,7 @@
 
 
 def decode_head(row: Row | None) -> StoredHead:
-    """Return what a head row says; epoch 0 without owner if there is none."""
+    """Return the head of a row; a head with epoch 0 and no owner if there is no row."""
     if row is None:
         return StoredHead(Head(), 0)
     raw = read_struct(HeadRow, row.value)
--- a/goldcreststair/components/ledger/heads.py
+++ b/goldcreststair/components/ledger/heads.py
@@ -1,4 +1,4 @@
-"""Compare-and-set on head rows, with lost answers settled by reading back."""
+"""Compare-and-set on head rows; a lost response is resolved by reading the row."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -18,25 +18,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Swapped:
-    """The new head stands."""
+    """The new head was written."""
 
     stored: StoredHead
     begun_at: Millis
-    """When the call began that showed it."""
+    """Start of the store call that confirmed it."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotSwapped:
-    """The new head was not written and never will be; the old one may still stand."""
+    """The new head was not written and never will be; the old one may still be in place."""
 
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """Another head stands."""
+    """Another VM's head is in place."""
 
     head: Head
-    doubtful: bool
-    """True if ours may have stood before it."""
+    maybe_written: bool
+    """Whether the new head may have been written before it."""
 
 
 SwapOutcome = Swapped | NotSwapped | Superseded
@@ -46,7 +46,7 @@
     """The head rows of all partitions in the table service."""
 
     def __init__(self, table: TableService, clock: Clock, random: Random) -> None:
-        """Use the platform's table."""
+        """Create an accessor to the head rows in `table`."""
         self._table = table
         self._clock = clock
         self._random = random
@@ -54,16 +54,19 @@
     async def async_read(
         self, indexes: Sequence[int]
     ) -> Result[tuple[StoredHead, ...], PlatformError]:
-        """Return heads in the order of `indexes`."""
+        """Return the heads of partitions in the order of `indexes`."""
         rows = await self._table.async_read_many([f"{ROW_PREFIX}{index}" for index in indexes])
         return rows.map(lambda found: tuple(decode_head(row) for row in found))
 
     async def async_swap(
-        self, index: int, version: int, head: Head, is_given_up: Callable[[], bool]
+        self, index: int, version: int, head: Head, is_abandoned: Callable[[], bool]
     ) -> SwapOutcome:
-        """Write a head over `version`; returns only when the outcome is known or given up."""
+        """Replace the head row of version `version`.
+
+        Returns when the outcome is known, or when `is_abandoned` returns True.
+        """
         write = RowWrite(f"{ROW_PREFIX}{index}", version, encode_head(head))
-        doubtful = False
+        maybe_written = False
         backoff = Backoff(self._random)
         while True:
             begun_at = self._clock.now()
@@ -72,13 +75,13 @@
                 return Swapped(StoredHead(head, version + 1), begun_at)
             error = written.err_value
             if isinstance(error, RowConflict):
-                return _judge(decode_head(error.current), head, doubtful, begun_at)
-            # An answer was lost: the write may have taken effect, or may yet arrive. Only the row
-            # can tell, and until it does the same bytes are sent again over the same version, so
-            # that the store lets at most one of them in.
-            doubtful = doubtful or isinstance(error, PlatformOutcomeUnknown)
-            if not doubtful or is_given_up():
-                return Superseded(Head(), True) if doubtful else NotSwapped()
+                return _compare_found(decode_head(error.current), head, maybe_written, begun_at)
+            # The response was lost: the write may have taken effect, or may do so later. Until the
+            # row shows the outcome, the same value is written again over the same version, so that
+            # the store applies at most one of the writes.
+            maybe_written = maybe_written or isinstance(error, PlatformOutcomeUnknown)
+            if not maybe_written or is_abandoned():
+                return Superseded(Head(), True) if maybe_written else NotSwapped()
             found = await self._async_read_back(index, version, head)
             if found is not None:
                 return found
@@ -89,9 +92,11 @@
         read = await self.async_read([index])
         if isinstance(read, Err) or read.ok_value[0].version == version:
             return None
-        return _judge(read.ok_value[0], head, True, begun_at)
+        return _compare_found(read.ok_value[0], head, True, begun_at)
 
 
-def _judge(found: StoredHead, wanted: Head, doubtful: bool, begun_at: Millis) -> SwapOutcome:
-    same = found.head.commit_id == wanted.commit_id and found.head.epoch == wanted.epoch
-    return Swapped(found, begun_at) if same else Superseded(found.head, doubtful)
+def _compare_found(
+    found: StoredHead, written: Head, maybe_written: bool, begun_at: Millis
+) -> SwapOutcome:
+    same = found.head.commit_id == written.commit_id and found.head.epoch == written.epoch
+    return Swapped(found, begun_at) if same else Superseded(found.head, maybe_written)
--- a/goldcreststair/components/ledger/loader.py
+++ b/goldcreststair/components/ledger/loader.py
@@ -8,7 +8,7 @@
 
 from goldcreststair.components.ledger.codec import async_decode_changes
 from goldcreststair.components.ledger.models import Head, StoredHead
-from goldcreststair.components.ledger.plan import Sizes, weigh
+from goldcreststair.components.ledger.plan import Sizes, estimate_bytes
 from goldcreststair.components.ledger.protocols import Change
 from goldcreststair.components.ledger.records import replay
 from goldcreststair.store.errors import ObjectMissing, PlatformError
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Loaded:
-    """A partition's records."""
+    """The records of a partition, with the head row that they were loaded from."""
 
     stored: StoredHead
     values: dict[str, bytes]
@@ -27,7 +27,7 @@
 async def async_load(
     objects: ObjectStore, stored: StoredHead
 ) -> Result[Loaded, PlatformError | ObjectMissing]:
-    """Return the records that a head row stands for."""
+    """Load the records of a partition from the objects and the tail of its head row."""
     head = stored.head
     names = [*([head.snapshot] if head.snapshot else []), *head.segments]
     contents = await asyncio.gather(*(objects.async_get(name) for name in names))
@@ -38,9 +38,9 @@
         parts.append(await async_decode_changes(content.ok_value))
     lengths = [len(content.ok_value) for content in contents if isinstance(content, Ok)]
     values = replay([*parts, head.tail])
-    return Ok(Loaded(stored, values, _measure(head, lengths)))
+    return Ok(Loaded(stored, values, _compute_sizes(head, lengths)))
 
 
-def _measure(head: Head, lengths: list[int]) -> Sizes:
+def _compute_sizes(head: Head, lengths: list[int]) -> Sizes:
     snapshot = lengths[0] if head.snapshot else 0
-    return Sizes(sum(map(weigh, head.tail)), sum(lengths) - snapshot, snapshot)
+    return Sizes(sum(map(estimate_bytes, head.tail)), sum(lengths) - snapshot, snapshot)
--- a/goldcreststair/components/ledger/models.py
+++ b/goldcreststair/components/ledger/models.py
@@ -1,4 +1,4 @@
-"""What the ledger keeps."""
+"""Models of the ledger."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -9,13 +9,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """The head row of a partition; snapshot, segments and tail in this order give its records."""
+    """The head row of a partition.
+
+    Its records are the result of applying snapshot, segments and tail in this order.
+    """
 
     owner: str = ""
-    """Session id of the owner; empty if released."""
+    """Session id of the owner; empty if the partition is released."""
     epoch: int = 0
     sequence: int = 0
-    """Number of the last commit."""
+    """Sequence number of the last commit."""
     commit_id: str = ""
     tail: tuple[Change, ...] = ()
     segments: tuple[str, ...] = ()
@@ -23,12 +26,12 @@
     claim_sequence: int = 0
     """Value of `sequence` when this epoch's owner claimed the partition."""
     garbage: tuple[str, ...] = ()
-    """Superseded objects that are not known to be deleted."""
+    """Names of superseded objects that are not known to be deleted."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredHead:
-    """A head with the version of its row; version 0 stands for no row."""
+    """A head with the version of its row; version 0 means that there is no row."""
 
     head: Head
     version: int
@@ -36,10 +39,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerState:
-    """How far this VM has come with its partitions."""
+    """Progress of this VM in claiming its partitions after its start."""
 
-    settled: bool = False
-    """Whether it has once claimed all it may claim, or found that the store does not answer."""
+    initial_claims_done: bool = False
+    """Whether it has once claimed every partition that it may claim, or the store did not respond."""
 
 
 LEDGER_STATE: Final = SectionKey[LedgerState]("ledger_state")
--- a/goldcreststair/components/ledger/notices.py
+++ b/goldcreststair/components/ledger/notices.py
@@ -1,4 +1,4 @@
-"""Tells the wanted owner that a partition was released, so that it claims it at once."""
+"""Notifies the desired owner of a partition's release, so that it claims the partition at once."""
 
 from collections.abc import Callable
 from typing import Final
@@ -15,17 +15,20 @@
 
 
 class ReleaseNotices:
-    """Sends and takes notices; a lost one costs the wait for the receiver's next sweep."""
+    """Sends and receives release notices.
+
+    If a notice is lost, the receiver finds the released partition at its next sweep.
+    """
 
     def __init__(self, core: Core, on_released: Callable[[int, StoredHead], None]) -> None:
-        """Register the message; without peers nothing is told."""
+        """Register the message; without the peers component nothing is sent."""
         self._peers = core.find(PEERS)
         self._on_released = on_released
         if self._peers is not None:
             self._peers.register(NUMBER_RELEASED, Released, self._async_on_released)
 
-    def tell(self, session: str, index: int, stored: StoredHead) -> None:
-        """Tell a session which head row it may claim over."""
+    def send(self, session: str, index: int, stored: StoredHead) -> None:
+        """Send a session the released head row that its claim has to replace."""
         if self._peers is not None:
             self._peers.post(session, Released(index, stored.version, encode_head(stored.head)))
 
--- a/goldcreststair/components/ledger/partition.py
+++ b/goldcreststair/components/ledger/partition.py
@@ -20,7 +20,7 @@
 from goldcreststair.components.ledger.loader import Loaded
 from goldcreststair.components.ledger.models import Head, StoredHead
 from goldcreststair.components.ledger.pacing import Backoff, Pacer, elapsed
-from goldcreststair.components.ledger.plan import Plan, plan_commit, weigh
+from goldcreststair.components.ledger.plan import Plan, estimate_bytes, plan_commit
 from goldcreststair.components.ledger.protocols import Change, CommitRefused, CommitUnknown
 from goldcreststair.components.ledger.records import Records
 from goldcreststair.components.ledger.stage import OK_RESULT, CommitResult, Stage
@@ -33,8 +33,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tools:
-    """What the partitions of one VM share."""
+class PartitionContext:
+    """Dependencies that the partitions of one VM share."""
 
     core: Core
     heads: HeadTable
@@ -47,24 +47,26 @@
         return self.core.clock
 
     def make_commit_id(self) -> str:
-        """Return an id that no other commit of any VM has."""
+        """Return an id that is unique among the commits of all VMs."""
         return f"{self.core.session_id}-{self.core.random.getrandbits(48):012x}"
 
 
 class OwnedPartition:
     """Implements `Partition`; fenced by the version of its head row."""
 
-    def __init__(self, tools: Tools, index: int, loaded: Loaded, confirmed_at: Millis) -> None:
-        """Take over a claimed and loaded partition."""
+    def __init__(
+        self, context: PartitionContext, index: int, loaded: Loaded, confirmed_at: Millis
+    ) -> None:
+        """Create the partition after it was claimed and loaded."""
         self.index = index
         self.epoch = loaded.stored.head.epoch
         self.confirmed_at = confirmed_at
-        self._tools = tools
+        self._context = context
         self._stored = loaded.stored
         self._sizes = loaded.sizes
         self._records = Records(loaded.values)
-        self._stage = Stage(tools.clock, self._records)
-        self._garbage = Garbage(tools.core, loaded.stored.head.garbage)
+        self._stage = Stage(context.clock, self._records)
+        self._garbage = Garbage(context.core, loaded.stored.head.garbage)
         self._writer: asyncio.Task[None] | None = None
         self._pending: Plan | None = None
         self._attempt = 0
@@ -73,11 +75,11 @@
 
     @property
     def is_owned(self) -> bool:
-        """Whether commits are taken."""
+        """Whether this VM owns the partition and accepts commits."""
         return not (self._closing or self._lost)
 
     def get(self, key: str) -> bytes | None:
-        """Return a record, staged changes included."""
+        """Return the value of a record, staged changes included, or None if there is none."""
         return self._records.get(key)
 
     def scan(self, prefix: str) -> Iterator[tuple[str, bytes]]:
@@ -85,9 +87,12 @@
         return self._records.scan(prefix)
 
     async def async_commit(self, changes: Sequence[Change], timeout_ms: int) -> CommitResult:
-        """Stage changes and wait until they are durable; none: wait for those staged before."""
+        """Stage changes and wait until they are durable.
+
+        Without changes it waits for those that were staged before.
+        """
         if not self.is_owned:
-            return Err(CommitRefused("the partition is not owned here any more"))
+            return Err(CommitRefused("this VM no longer owns the partition"))
         if not changes and not len(self._stage):
             return OK_RESULT
         done = self._stage.add(changes, timeout_ms)
@@ -96,14 +101,14 @@
         return await done
 
     def confirm(self, head: Head, begun_at: Millis) -> None:
-        """Take note of the head row as a read that began at `begun_at` found it."""
+        """Apply the head row that a read started at `begun_at` returned."""
         if head.epoch == self.epoch and head.owner == self._stored.head.owner:
             self.confirmed_at = max(self.confirmed_at, begun_at)
         elif head.epoch > self.epoch:
-            self._lose(head, doubtful=True)
+            self._mark_lost(head, maybe_written=True)
 
     async def async_hand_over(self) -> StoredHead | None:
-        """Finish the staged commits, then release the head row; returns it if that took effect."""
+        """Finish the staged commits, then release the head row; None if it was not released."""
         if not self.is_owned:
             return None
         self._closing = True
@@ -111,52 +116,53 @@
             await self._writer
         if self._lost:
             return None
-        # The components above stop acting as owner before the row says that another may begin.
+        # Components that use the partition stop acting as its owner before the row is released and
+        # another VM may claim it.
         self._lost = True
         self._garbage.close()
-        self._tools.on_lost(self.index)
-        commit_id = self._tools.make_commit_id()
-        kept = self._garbage.list_kept()
-        released = replace(self._stored.head, owner="", commit_id=commit_id, garbage=kept)
-        backoff = Backoff(self._tools.core.random)
+        self._context.on_lost(self.index)
+        commit_id = self._context.make_commit_id()
+        undeleted = self._garbage.list_undeleted()
+        released = replace(self._stored.head, owner="", commit_id=commit_id, garbage=undeleted)
+        backoff = Backoff(self._context.core.random)
         while isinstance(outcome := await self._async_swap(released, lambda: False), NotSwapped):
-            await self._tools.clock.async_sleep(backoff.next_ms())
+            await self._context.clock.async_sleep(backoff.next_ms())
         return outcome.stored if isinstance(outcome, Swapped) else None
 
     def abort(self) -> None:
-        """Stop at once, without a release."""
+        """Stop at once, without releasing the head row."""
         if self._writer is not None:
             self._writer.cancel()
         if not self._lost:
-            self._lose(Head(), doubtful=True)
+            self._mark_lost(Head(), maybe_written=True)
 
     async def _async_write(self) -> None:
         try:
-            backoff = Backoff(self._tools.core.random)
+            backoff = Backoff(self._context.core.random)
             while len(self._stage) and not self._lost:
-                await self._tools.clock.async_sleep(self._tools.pacer.reserve())
+                await self._context.clock.async_sleep(self._context.pacer.reserve())
                 if not len(self._stage) or self._lost:
                     break
                 if await self._async_write_group():
-                    backoff = Backoff(self._tools.core.random)
+                    backoff = Backoff(self._context.core.random)
                 else:
-                    self._stage.return_group()
-                    await self._tools.clock.async_sleep(backoff.next_ms())
+                    self._stage.reset_group()
+                    await self._context.clock.async_sleep(backoff.next_ms())
         finally:
             self._writer = None
 
     async def _async_write_group(self) -> bool:
-        """Write all that is staged; returns False if it certainly had no effect."""
-        group = self._stage.take_group(MAX_GROUP_BYTES, weigh)
-        head = replace(self._stored.head, garbage=self._garbage.list_kept())
+        """Write the next group of staged commits; returns False if the write had no effect."""
+        group = self._stage.start_group(MAX_GROUP_BYTES, estimate_bytes)
+        head = replace(self._stored.head, garbage=self._garbage.list_undeleted())
         export = self._records.export if self._stage.is_all_sent() else None
-        commit_id = self._tools.make_commit_id()
+        commit_id = self._context.make_commit_id()
         plan = plan_commit(self.index, head, self._sizes, group, commit_id, export, self._attempt)
         if plan.object_name:
             self._attempt += 1
             content = await async_encode_changes(plan.changes)
-            plan = plan.measure(len(content))
-            put = await self._tools.core.platform.objects.async_put(plan.object_name, content)
+            plan = plan.with_object_bytes(len(content))
+            put = await self._context.core.platform.objects.async_put(plan.object_name, content)
             if isinstance(put, Err):
                 return False
         if self._lost:
@@ -167,56 +173,57 @@
         if self._lost:
             return True
         if isinstance(outcome, NotSwapped):
-            # The table refuses while the object store still takes objects: each try would leave
-            # one behind that no head row names.
+            # The table may fail while the object store still accepts objects. Without this, each
+            # attempt would leave an object that no head row refers to.
             self._garbage.add([plan.object_name] if plan.object_name else [])
             return False
         if isinstance(outcome, Superseded):
             self._pending = plan
-            self._lose(outcome.head, outcome.doubtful)
+            self._mark_lost(outcome.head, outcome.maybe_written)
             return True
-        self._accept(outcome.stored, plan, outcome.begun_at)
+        self._apply_written(outcome.stored, plan, outcome.begun_at)
         return True
 
-    async def _async_swap(self, head: Head, is_given_up: Callable[[], bool]) -> SwapOutcome:
-        return await self._tools.heads.async_swap(
-            self.index, self._stored.version, head, is_given_up
+    async def _async_swap(self, head: Head, is_abandoned: Callable[[], bool]) -> SwapOutcome:
+        return await self._context.heads.async_swap(
+            self.index, self._stored.version, head, is_abandoned
         )
 
-    def _accept(self, stored: StoredHead, plan: Plan, begun_at: Millis) -> None:
+    def _apply_written(self, stored: StoredHead, plan: Plan, begun_at: Millis) -> None:
         self._stored = stored
         self._attempt = 0
         self._sizes = plan.sizes
         self.confirmed_at = max(self.confirmed_at, begun_at)
         self._garbage.add(stored.head.garbage)
-        self._tools.core.statistics.count("ledger.writes")
-        self._tools.core.statistics.record_ms(
-            "ledger.write_ms", elapsed(self._tools.clock, begun_at)
+        self._context.core.statistics.count("ledger.writes")
+        self._context.core.statistics.record_ms(
+            "ledger.write_ms", elapsed(self._context.clock, begun_at)
         )
-        self._stage.settle_group(OK_RESULT)
+        self._stage.resolve_group(OK_RESULT)
 
-    def _lose(self, head: Head, doubtful: bool) -> None:
+    def _mark_lost(self, head: Head, maybe_written: bool) -> None:
         if self._lost:
             return
         self._lost = True
         self._garbage.close()
-        self._tools.core.statistics.count("ledger.lost")
-        self._tools.core.journal.record(
+        self._context.core.statistics.count("ledger.lost")
+        self._context.core.journal.record(
             Subject.PARTITION, str(self.index), "lost", "newer epoch", epoch=head.epoch
         )
         _LOGGER.info("Partition %s lost to epoch %s", self.index, head.epoch)
-        self._stage.refuse_all("the partition was lost")
-        self._stage.settle_group(self._judge_group(head, doubtful))
-        self._tools.on_lost(self.index)
+        self._stage.refuse_unsent("the partition was lost")
+        self._stage.resolve_group(self._resolve_outcome(head, maybe_written))
+        self._context.on_lost(self.index)
 
-    def _judge_group(self, head: Head, doubtful: bool) -> CommitResult:
-        """Tell how the group under way ended, from the head that ended this ownership."""
-        if self._pending is None or not doubtful:
+    def _resolve_outcome(self, head: Head, maybe_written: bool) -> CommitResult:
+        """Return the outcome of the group in flight, from the head that ended this ownership."""
+        if self._pending is None or not maybe_written:
             return Err(CommitRefused("the partition was lost before the write"))
-        # The next owner wrote down the sequence that it found, so while its epoch lasts the
-        # outcome of our last write is known for certain; after it nobody can tell any more.
+        # The next owner's head contains the sequence number that it found when it claimed. During
+        # its epoch this determines whether the last write of this owner took effect; after a
+        # further change of owner it can no longer be determined.
         if head.epoch == self.epoch + 1:
             if head.claim_sequence >= self._pending.head.sequence:
                 return OK_RESULT
             return Err(CommitRefused("the partition was claimed before the write"))
-        return Err(CommitUnknown("the partition was lost while the write was under way"))
+        return Err(CommitUnknown("the partition was lost while the write was in flight"))
--- a/goldcreststair/components/ledger/plan.py
+++ b/goldcreststair/components/ledger/plan.py
@@ -1,4 +1,4 @@
-"""What one commit writes: the head row alone, or a segment or snapshot object first."""
+"""Plans the writes of a commit: the head row alone, or a segment or snapshot object first."""
 
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, replace
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """Bytes of a partition's parts, about."""
+    """Approximate sizes of a partition's parts, in bytes."""
 
     tail: int = 0
     segments: int = 0
@@ -27,17 +27,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One commit."""
+    """The writes of one commit."""
 
     head: Head
     sizes: Sizes
     object_name: str = ""
-    """An object to store before the head; empty for none."""
+    """Name of the object to store before the head row; empty if there is none."""
     changes: Iterable[Change] = ()
     """The content of the object."""
 
-    def measure(self, length: int) -> "Plan":
-        """Return the plan with the length of its object in the sizes."""
+    def with_object_bytes(self, length: int) -> "Plan":
+        """Return the plan with `length` bytes of its object added to the sizes."""
         if self.head.snapshot == self.object_name:
             return replace(self, sizes=Sizes(snapshot=length))
         segments = self.sizes.segments + length
@@ -45,22 +45,23 @@
 
 
 def name_object(index: int, epoch: int, sequence: int, attempt: int) -> str:
-    """Return the name of the object of one attempt at a commit.
+    """Return the name of the object that one attempt at a commit stores.
 
-    It follows from the head row before, so that the next owner can name what a killed one left.
+    It is derived from the previous head row, so that the next owner can compute the names of
+    objects that a killed owner left behind.
     """
     return f"{OBJECT_PREFIX}{index}/{epoch}-{sequence}-{attempt}"
 
 
 def list_orphans(index: int, head: Head) -> tuple[str, ...]:
-    """Return the objects that an owner killed before its next head write may have stored."""
+    """Return the names of objects that an owner killed before its next head write may have left."""
     return tuple(
         name_object(index, head.epoch, head.sequence + 1, attempt) for attempt in range(MAX_ORPHANS)
     )
 
 
-def weigh(change: Change) -> int:
-    """Return about how many bytes a change takes."""
+def estimate_bytes(change: Change) -> int:
+    """Return the approximate size of a change in bytes."""
     return len(change.key) + len(change.value or b"") + CHANGE_OVERHEAD_BYTES
 
 
@@ -73,12 +74,13 @@
     export: Callable[[], Iterable[Change]] | None,
     attempt: int = 0,
 ) -> Plan:
-    """Return the cheapest commit of a group; `export` gives all records, if they may be compacted.
+    """Return the cheapest plan that commits a group of changes.
 
-    The tail is moved into the object together with the group, so that the order snapshot,
-    segments, tail always holds.
+    `export` returns all records; None if they must not be compacted now. If an object is written,
+    the tail is moved into it together with the group, so that the records still result from
+    applying snapshot, segments and tail in this order.
     """
-    added = sum(map(weigh, group))
+    added = sum(map(estimate_bytes, group))
     following = replace(head, sequence=head.sequence + 1, commit_id=commit_id)
     if sizes.tail + added <= MAX_TAIL_BYTES:
         tail = head.tail + tuple(group)
--- a/goldcreststair/components/ledger/protocols.py
+++ b/goldcreststair/components/ledger/protocols.py
@@ -1,4 +1,4 @@
-"""What other components ask of the ledger."""
+"""Interface of the ledger to other components."""
 
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass
@@ -13,29 +13,29 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerError(GoldcreststairError):
-    """A commit that is not known to be durable."""
+    """The commit is not known to be durable."""
 
 
 @dataclass(frozen=True, slots=True)
 class CommitRefused(LedgerError):
-    """The change was certainly not written and never will be (store down, or not the owner)."""
+    """The change was not written and never will be (the store is down, or not the owner)."""
 
 
 @dataclass(frozen=True, slots=True)
 class CommitUnknown(LedgerError):
-    """The partition was lost while the write was under way; its next owner knows."""
+    """The outcome of the write is unknown here; the next owner of the partition knows it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One record set, or removed with `value` None."""
+    """Sets a record, or removes it if `value` is None."""
 
     key: str
     value: bytes | None
 
 
 class Partition(Protocol):
-    """An owned partition: records in memory, durable through its head row."""
+    """An owned partition: its records are in memory and made durable through its head row."""
 
     @property
     def index(self) -> int:
@@ -43,14 +43,14 @@
 
     @property
     def epoch(self) -> int:
-        """The fencing number; grows at each change of owner."""
+        """The fencing token; it grows at each change of owner."""
 
     @property
     def confirmed_at(self) -> Millis:
-        """When the last store call began that showed this VM still owns the partition."""
+        """Start of the last store call that confirmed that this VM owns the partition."""
 
     def get(self, key: str) -> bytes | None:
-        """Return a record, staged changes included."""
+        """Return the value of a record, staged changes included, or None if there is none."""
 
     def scan(self, prefix: str) -> Iterator[tuple[str, bytes]]:
         """Yield records in the order of their keys, staged changes included."""
@@ -58,32 +58,33 @@
     async def async_commit(
         self, changes: Sequence[Change], timeout_ms: int
     ) -> Result[None, LedgerError]:
-        """Stage at once (so that `get` sees them), then make durable, all or none, grouped.
+        """Stage changes at once, so that `get` returns them, then write all of them or none.
 
-        On `CommitRefused` the staged changes are taken back.
+        Commits made at the same time share a write. On `CommitRefused` the staged changes are
+        rolled back.
         """
 
 
 class Ledger(Protocol):
-    """The partitions of the key space."""
+    """The key space, divided into partitions."""
 
     def find_index(self, key: str) -> int:
-        """Return the partition of a key."""
+        """Return the index of a key's partition."""
 
     def get_owned(self, index: int) -> Partition | None:
         """Return a partition that this VM owns and has loaded, else None."""
 
     def find_owner(self, index: int) -> str | None:
-        """Return the session id believed to own a partition (may be this VM's), else None."""
+        """Return the session id of a partition's assumed owner (may be this VM's), else None."""
 
     def record_owner(self, index: int, session: str) -> None:
-        """Believe another VM's word on the owner of a partition."""
+        """Record the owner of a partition that another VM has reported."""
 
     async def async_read_owner(self, index: int) -> str | None:
-        """Return the owner that the head row names, and believe it; None if there is none."""
+        """Read the owner from the head row and record it; None without one or if the read fails."""
 
     def watch(self, on_gained: Callable[[Partition], None], on_lost: Callable[[int], None]) -> None:
-        """Call back when this VM gains or loses a partition; at once for those it owns."""
+        """Register callbacks for gained and lost partitions; calls back at once for owned ones."""
 
 
 LEDGER: Final = ComponentKey[Ledger]("ledger")
--- a/goldcreststair/components/ledger/records.py
+++ b/goldcreststair/components/ledger/records.py
@@ -1,4 +1,4 @@
-"""A partition's records in memory, with staged changes that can be taken back."""
+"""A partition's records in memory, with changes that can be undone."""
 
 from bisect import bisect_left, insort
 from collections.abc import Iterable, Iterator, Mapping, Sequence
@@ -6,11 +6,11 @@
 from goldcreststair.components.ledger.protocols import Change
 
 Undo = tuple[Change, ...]
-"""Changes that restore what a commit replaced, in the order in which to apply them."""
+"""Changes that restore the values which other changes replaced, in the order to apply them."""
 
 
 class Records:
-    """Records by key, in order.
+    """Records in the order of their keys.
 
     >>> records = Records({"a": b"1"})
     >>> undo = records.apply([Change("a", None), Change("b", b"2")])
@@ -22,16 +22,16 @@
     """
 
     def __init__(self, values: Mapping[str, bytes]) -> None:
-        """Start with these records."""
+        """Create the records from a mapping, which is copied."""
         self._values = dict(values)
         self._keys = sorted(self._values)
 
     def get(self, key: str) -> bytes | None:
-        """Return a record."""
+        """Return the value of a record, or None if there is none."""
         return self._values.get(key)
 
     def scan(self, prefix: str) -> Iterator[tuple[str, bytes]]:
-        """Yield records by key; safe against changes made meanwhile."""
+        """Yield the records with a key prefix in order; changes are allowed during iteration."""
         first = bisect_left(self._keys, prefix)
         last = bisect_left(self._keys, prefix + "\U0010ffff") if prefix else len(self._keys)
         for key in self._keys[first:last]:
@@ -40,7 +40,7 @@
                 yield key, value
 
     def apply(self, changes: Iterable[Change]) -> Undo:
-        """Apply changes and return what takes them back."""
+        """Apply changes and return the changes that undo them."""
         undo: list[Change] = []
         for change in changes:
             undo.append(Change(change.key, self._values.get(change.key)))
@@ -58,13 +58,13 @@
             del self._keys[bisect_left(self._keys, change.key)]
 
     def export(self) -> Iterator[Change]:
-        """Return all records as they are now, as changes made one by one."""
+        """Return a snapshot of all records; the changes are created lazily."""
         copied = dict(self._values)
         return (Change(key, value) for key, value in copied.items())
 
 
 def replay(parts: Iterable[Sequence[Change]]) -> dict[str, bytes]:
-    """Return the records that lists of changes give, applied in order."""
+    """Return the records that result from applying lists of changes in order."""
     values: dict[str, bytes] = {}
     for changes in parts:
         for change in changes:
--- a/goldcreststair/components/ledger/rendezvous.py
+++ b/goldcreststair/components/ledger/rendezvous.py
@@ -1,4 +1,4 @@
-"""Which VM is wanted as the owner of each partition."""
+"""Chooses the desired owner of each partition by rendezvous hashing."""
 
 import struct
 from collections.abc import Iterable
@@ -9,37 +9,38 @@
 
 
 def find_index(key: str, partitions: int) -> int:
-    """Return the partition of a key; the same on every VM and after every restart."""
+    """Return the index of a key's partition; the same on every VM and after every restart."""
     digest = blake2b(key.encode(), digest_size=SCORE_BYTES).digest()
     return int.from_bytes(digest, "big") % partitions
 
 
-class WantedOwners:
+class DesiredOwners:
     """The session with the highest score for each partition.
 
-    A join costs one hash and one pass; a leave looks again only at what the session had won, so a
-    change costs the same work whatever the number of members.
+    A join costs one hash and one pass over the partitions. A leave only recomputes the partitions
+    whose desired owner has left, so that the cost of a change does not depend on the number of
+    members.
 
-    >>> wanted = WantedOwners(8)
-    >>> wanted.update({"a", "b"})
-    >>> before = [wanted.find(index) for index in range(8)]
-    >>> wanted.update({"a", "b", "c"})
-    >>> all(wanted.find(index) in (before[index], "c") for index in range(8))
+    >>> desired = DesiredOwners(8)
+    >>> desired.update({"a", "b"})
+    >>> before = [desired.find(index) for index in range(8)]
+    >>> desired.update({"a", "b", "c"})
+    >>> all(desired.find(index) in (before[index], "c") for index in range(8))
     True
     """
 
     def __init__(self, partitions: int) -> None:
-        """Start without sessions."""
+        """Create the mapping without sessions."""
         self._partitions = partitions
         self._scores: dict[str, tuple[int, ...]] = {}
         self._winners: list[str] = [""] * partitions
 
     def find(self, index: int) -> str:
-        """Return the wanted owner's session; empty if there are no sessions."""
+        """Return the session of the desired owner; empty if there are no sessions."""
         return self._winners[index]
 
     def list_winners(self) -> tuple[str, ...]:
-        """Return the wanted owner of each partition."""
+        """Return the desired owner of each partition, by index."""
         return tuple(self._winners)
 
     def update(self, sessions: Iterable[str]) -> None:
--- a/goldcreststair/components/ledger/stage.py
+++ b/goldcreststair/components/ledger/stage.py
@@ -1,4 +1,4 @@
-"""Commits that are staged: visible in the records, not yet durable."""
+"""Staged commits: visible in the records, but not yet durable."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, eq=False)
 class StagedCommit:
-    """One caller's changes."""
+    """The changes of one caller."""
 
     changes: tuple[Change, ...]
     undo: Undo
@@ -28,7 +28,7 @@
     timer: TimerHandle | None = None
 
     def resolve(self, result: CommitResult) -> None:
-        """Tell the caller, unless it was told or is gone."""
+        """Set the result for the caller, unless it has one or was cancelled."""
         if self.timer is not None:
             self.timer.cancel()
         if not self.done.done():
@@ -36,10 +36,10 @@
 
 
 class Stage:
-    """Staged commits in order; the first `sent` of them are in the write under way."""
+    """Staged commits in order; the first `_sent` of them are part of the write in flight."""
 
     def __init__(self, clock: Clock, records: Records) -> None:
-        """Start empty."""
+        """Create an empty stage for changes to `records`."""
         self._clock = clock
         self._records = records
         self._commits: list[StagedCommit] = []
@@ -50,56 +50,56 @@
         return len(self._commits)
 
     def add(self, changes: Sequence[Change], timeout_ms: int) -> asyncio.Future[CommitResult]:
-        """Apply changes to the records and return what will tell how they ended."""
+        """Apply changes to the records and return the future of their result."""
         done: asyncio.Future[CommitResult] = asyncio.get_running_loop().create_future()
         commit = StagedCommit(tuple(changes), self._records.apply(changes), done)
         commit.timer = self._clock.call_later(timeout_ms, lambda: self._expire(commit))
         self._commits.append(commit)
         return done
 
-    def take_group(self, max_bytes: int, weigh: Callable[[Change], int]) -> list[Change]:
-        """Mark the next commits as sent, about `max_bytes` of them, and return their changes."""
+    def start_group(self, max_bytes: int, estimate_bytes: Callable[[Change], int]) -> list[Change]:
+        """Mark about `max_bytes` of the next commits as sent and return their changes."""
         size = self._sent = 0
         for commit in self._commits:
             if size >= max_bytes:
                 break
-            size += sum(map(weigh, commit.changes))
+            size += sum(map(estimate_bytes, commit.changes))
             self._sent += 1
         return [change for commit in self._commits[: self._sent] for change in commit.changes]
 
     def is_all_sent(self) -> bool:
-        """Return whether nothing is staged beside the group under way."""
+        """Return whether every staged commit belongs to the group in flight."""
         return self._sent == len(self._commits)
 
-    def return_group(self) -> None:
-        """Mark the group as not sent, as its write certainly had no effect."""
+    def reset_group(self) -> None:
+        """Mark the group as not sent, after a write that had no effect."""
         self._sent = 0
 
-    def settle_group(self, result: CommitResult) -> None:
-        """Tell the callers of the group under way."""
+    def resolve_group(self, result: CommitResult) -> None:
+        """Set the result for the callers of the group in flight."""
         group = self._commits[: self._sent]
         self._commits = self._commits[self._sent :]
         self._sent = 0
         for commit in group:
             commit.resolve(result)
 
-    def refuse_all(self, reason: str) -> None:
-        """Take back everything that was not sent."""
-        self._take_back(self._sent, reason)
+    def refuse_unsent(self, reason: str) -> None:
+        """Roll back and refuse everything that was not sent."""
+        self._roll_back(self._sent, reason)
 
     def _expire(self, commit: StagedCommit) -> None:
         if commit not in self._commits:
             return
         position = self._commits.index(commit)
         if position < self._sent:
-            commit.resolve(Err(CommitUnknown("the write was still under way at the timeout")))
+            commit.resolve(Err(CommitUnknown("the write was still in flight at the timeout")))
         else:
-            self._take_back(position, "the store did not take it in time")
+            self._roll_back(position, "the store did not accept the change in time")
 
-    def _take_back(self, position: int, reason: str) -> None:
-        # Later commits were staged over this one and their callers may have decided on what they
-        # read from it, so all of them are refused with it, the latest first: each undo then meets
-        # exactly the records that it was made for.
+    def _roll_back(self, position: int, reason: str) -> None:
+        # Later commits were staged on top of this one, and their callers may have based decisions
+        # on its values, so all of them are refused as well. They are undone latest first, so that
+        # each undo is applied to the records that it was made for.
         refused = self._commits[position:]
         del self._commits[position:]
         for commit in reversed(refused):
--- a/goldcreststair/components/shutdown/readiness.py
+++ b/goldcreststair/components/shutdown/readiness.py
@@ -25,7 +25,7 @@
         ),
         # It would refuse callers whose limits it is to keep: in a fleet that has just started
         # these are all of them.
-        "partitions not claimed yet": ledger is not None and not ledger.settled,
+        "partitions not claimed yet": ledger is not None and not ledger.initial_claims_done,
         "no configuration yet": board.read(CONFIGURATION).version == 0,
     }
     return [name for name, holds in obstacles.items() if holds]
--- a/standins/measure/ledger.py
+++ b/standins/measure/ledger.py
@@ -30,7 +30,7 @@
     fleet.platform.faults.slow_ms = STORE_MS
     await fleet.async_add("a")
     vm = fleet.vms["a"]
-    vm.ledger._share_budget = lambda: None  # type: ignore[method-assign]
+    vm.ledger._update_pace = lambda: None  # type: ignore[method-assign]
     vm.ledger._pacer.share = owned / partitions
     return fleet, vm
 
--- a/tests/components/ledger/test_growing_fleet.py
+++ b/tests/components/ledger/test_growing_fleet.py
@@ -48,10 +48,12 @@
         await fleet.async_wait(lambda: count_owned(first) > PARTITIONS // 2, LIMIT_MS)
         daemons = [first, *await asyncio.gather(*(fleet.async_add() for _ in range(3)))]
         await fleet.async_wait(
-            lambda: daemons[0].core.blackboard.read(LEDGER_STATE).settled, LIMIT_MS // 10
+            lambda: daemons[0].core.blackboard.read(LEDGER_STATE).initial_claims_done,
+            LIMIT_MS // 10,
         )
         await fleet.async_wait(
-            lambda: all(d.core.blackboard.read(LEDGER_STATE).settled for d in daemons), LIMIT_MS
+            lambda: all(d.core.blackboard.read(LEDGER_STATE).initial_claims_done for d in daemons),
+            LIMIT_MS,
         )
 
     run_fleet(async_test)
--- a/tests/components/ledger/test_handover.py
+++ b/tests/components/ledger/test_handover.py
@@ -185,7 +185,7 @@
         assert sorted(owned["a"] + owned["b"]) == list(range(64))
         assert 24 <= len(owned["b"]) <= 40
         states = [fleet.vms[name].core.blackboard.read(LEDGER_STATE) for name in owned]
-        assert all(state.settled for state in states)
+        assert all(state.initial_claims_done for state in states)
         await fleet.async_close()
 
     run_virtual(async_test())
--- a/tests/components/ledger/test_histories.py
+++ b/tests/components/ledger/test_histories.py
@@ -221,13 +221,13 @@
 def plant_lone_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
     """Refuse a timed-out commit and leave those that rest on it."""
 
-    def take_back(self: Stage, position: int, reason: str) -> None:
+    def roll_back(self: Stage, position: int, reason: str) -> None:
         for commit in self._commits[position : position + 1]:
             self._records.apply(commit.undo)
             commit.resolve(Err(CommitRefused(reason)))
         del self._commits[position : position + 1]
 
-    monkeypatch.setattr(Stage, "_take_back", take_back)
+    monkeypatch.setattr(Stage, "_roll_back", roll_back)
 
 
 def plant_refused_in_flight(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -238,10 +238,10 @@
 def plant_shared_epoch(monkeypatch: pytest.MonkeyPatch) -> None:
     """Lose a partition only by its owner's name, as if the epoch did not matter."""
 
-    def judge(self: Any, head: Any, doubtful: bool) -> CommitResult:
+    def judge(self: Any, head: Any, maybe_written: bool) -> CommitResult:
         return OK_RESULT
 
-    monkeypatch.setattr(partition.OwnedPartition, "_judge_group", judge)
+    monkeypatch.setattr(partition.OwnedPartition, "_resolve_outcome", judge)
 
 
 @pytest.mark.parametrize(
--- a/tests/components/ledger/test_objects.py
+++ b/tests/components/ledger/test_objects.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from goldcreststair.components.ledger.codec import async_decode_changes, async_encode_changes
-from goldcreststair.components.ledger.const import GARBAGE_GRACE_MS, PIECE_RECORDS
+from goldcreststair.components.ledger.const import CHUNK_RECORDS, GARBAGE_GRACE_MS
 from goldcreststair.components.ledger.protocols import Change
 from tests.helpers.virtual_time import run_virtual
 from tests.helpers.vms import Fleet
@@ -48,7 +48,7 @@
     """
 
     async def async_test() -> None:
-        changes = [Change(f"key{number}", b"value") for number in range(10 * PIECE_RECORDS)]
+        changes = [Change(f"key{number}", b"value") for number in range(10 * CHUNK_RECORDS)]
         coding = asyncio.ensure_future(async_encode_changes(iter(changes)))
         assert await async_count_turns(coding) >= 10
         decoding = asyncio.ensure_future(async_decode_changes(await coding))
