--- a/goldcreststair/components/ledger/controller.py
+++ b/goldcreststair/components/ledger/controller.py
@@ -256,7 +256,7 @@
             self._spawn(self._async_claim(index, stored), index)
 
     async def _async_claim_missing(self) -> bool:
-        """Start claims of missing partitions, some in parallel; returns whether there may be more."""
+        """Start claims of some missing partitions; returns whether there may be more to claim."""
         missing = [
             index
             for index in self._desired_here
--- a/goldcreststair/components/ledger/models.py
+++ b/goldcreststair/components/ledger/models.py
@@ -42,7 +42,7 @@
     """Progress of this VM in claiming its partitions after its start."""
 
     initial_claims_done: bool = False
-    """Whether it has once claimed every partition that it may claim, or the store did not respond."""
+    """Whether it has once claimed all partitions it may claim, or the store did not respond."""
 
 
 LEDGER_STATE: Final = SectionKey[LedgerState]("ledger_state")
--- a/tests/components/ledger/test_growing_fleet.py
+++ b/tests/components/ledger/test_growing_fleet.py
@@ -1,4 +1,4 @@
-"""Partitions move to VMs that join, within seconds."""
+"""Partitions move within seconds to VMs that join."""
 
 import asyncio
 
@@ -13,15 +13,16 @@
 
 
 def count_owned(daemon: FakeDaemon) -> int:
-    keeper = daemon.core.get(LEDGER)
-    return sum(keeper.get_owned(index) is not None for index in range(PARTITIONS))
+    ledger_controller = daemon.core.get(LEDGER)
+    return sum(ledger_controller.get_owned(index) is not None for index in range(PARTITIONS))
 
 
 def test_partitions_of_a_grown_fleet_move_within_seconds() -> None:
-    """Three VMs join one that owns all; about 48 partitions have to move.
+    """Three VMs join one that owns all partitions; about 48 of them have to move.
 
-    Each owner gave up one partition a second whatever its part of the fleet's pace of 25 a second
-    was, so the hand-over took most of a minute, with refusals at each move.
+    Guards against an owner that releases only one partition a second, whatever its share of the
+    fleet's 25 handovers a second is: the moves would take most of a minute, with refused requests
+    at each of them.
     """
 
     async def async_test(fleet: FakeDaemons) -> None:
@@ -35,11 +36,11 @@
     run_fleet(async_test)
 
 
-def test_vm_that_hands_over_is_ready() -> None:
-    """Four VMs start almost together; the first claim what soon has to go to the others.
+def test_vm_is_ready_while_it_hands_over_partitions() -> None:
+    """Four VMs start almost together; the first claims partitions that soon move to the others.
 
-    A VM that had all that is wanted of it was not ready until its last surplus partition had
-    moved: a new fleet turned callers away for up to 37 s.
+    Guards against a VM that owns all its partitions but is not ready until it has handed over its
+    last surplus one: a new fleet would refuse callers for up to 37 s.
     """
 
     async def async_test(fleet: FakeDaemons) -> None:
--- a/tests/components/ledger/test_handover.py
+++ b/tests/components/ledger/test_handover.py
@@ -1,4 +1,4 @@
-"""Planned changes of owner: notices of releases, and what becomes of them when they go astray."""
+"""Planned changes of owner: release notices, also when they are lost or late."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -30,15 +30,15 @@
     return [index for index in range(fleet.partitions) if ledger.get_owned(index) is not None]
 
 
-def let_want_all(fleet: Fleet, session: str) -> None:
-    """Let one VM see all others as leaving, so that it holds itself for the wanted owner."""
+def make_desired_owner_of_all(fleet: Fleet, session: str) -> None:
+    """Make one VM see all others as leaving, so that it sees itself as the desired owner."""
     states = {name: MemberState.LEAVING for name in fleet.members} | {session: MemberState.SERVING}
     members = {name: replace(fleet.members[name], state=states[name]) for name in states}
     fleet.vms[session].members.write(Members(session, members))
 
 
 async def async_release(fleet: Fleet, index: int, owner: str) -> Released:
-    """Let an owner release a partition, and return the notice of it."""
+    """Release a partition at its owner and return the release notice."""
     partition = fleet.vms[owner].get_owned(index)
     assert isinstance(partition, OwnedPartition)
     stored = await partition.async_hand_over()
@@ -46,11 +46,11 @@
     return Released(index, stored.version, encode_head(stored.head))
 
 
-def test_a_released_partition_is_claimed_at_once() -> None:
-    """A VM leaves; for up to a second its partitions have no owner.
+def test_released_partition_is_claimed_at_once() -> None:
+    """A VM leaves, and the next owner has to claim its partitions without waiting for a sweep.
 
-    Claims on them wait and customers homed there are refused, as the next owner only found out
-    that they were free at its next sweep.
+    Otherwise they have no owner for up to a second: claims on them wait, and customers whose
+    limits are coordinated there are refused.
     """
 
     async def async_body(fleet: Fleet) -> None:
@@ -74,10 +74,10 @@
     run_fleet(async_body, "a", "b")
 
 
-def test_a_lost_notice_is_made_up_for_by_the_sweep() -> None:
-    """The link between the old and the new owner breaks just as a partition is released.
+def test_sweep_finds_partition_after_lost_notice() -> None:
+    """The link between the old and the new owner breaks as partitions are released.
 
-    The notice is lost. The row is free in the store, and the next sweep has to find it.
+    The notices are lost. The head rows have no owner, and the next sweeps have to find them.
     """
 
     async def async_body(fleet: Fleet) -> None:
@@ -89,18 +89,18 @@
     run_fleet(async_body, "a", "b")
 
 
-def test_one_of_two_wanted_owners_gets_a_released_partition() -> None:
-    """News of members reach two VMs in different order and each holds itself for the next owner.
+def test_only_one_of_two_desired_owners_claims_a_released_partition() -> None:
+    """Two VMs with different views of the members each see themselves as the desired owner.
 
-    Both hear that a partition is free and claim the same row. If both served it, each would admit
-    the customers' whole rate and grant the same claims.
+    Both are notified of the release and claim the same row. If both served the partition, each
+    would admit the customers' whole rate and grant the same claims.
     """
 
     async def async_body(fleet: Fleet) -> None:
         index = list_owned(fleet, "c")[0]
         notice = await async_release(fleet, index, "c")
         for name in ("a", "b"):
-            let_want_all(fleet, name)
+            make_desired_owner_of_all(fleet, name)
             fleet.vms["c"].core.get(PEERS).post(name, notice)
         await fleet.clock.async_sleep(3_000)
         owners = [name for name in ("a", "b") if index in list_owned(fleet, name)]
@@ -109,10 +109,11 @@
     run_fleet(async_body, "a", "b", "c")
 
 
-def test_a_late_notice_takes_nothing_from_a_newer_owner() -> None:
-    """A notice is held up while its receiver was unwanted, and comes after another VM has claimed.
+def test_late_notice_does_not_displace_newer_owner() -> None:
+    """A release notice arrives after another VM has claimed the partition.
 
-    Taken at its word it would displace the newer owner, whose commits would then be refused.
+    If the receiver claimed without a check of the row's version, it would displace the newer owner,
+    whose commits would then be refused.
     """
 
     async def async_body(fleet: Fleet) -> None:
@@ -122,7 +123,7 @@
         owner = next(name for name in ("a", "b") if index in list_owned(fleet, name))
         other = "b" if owner == "a" else "a"
         newest = fleet.vms[owner].get_owned(index)
-        let_want_all(fleet, other)
+        make_desired_owner_of_all(fleet, other)
         fleet.vms[owner].core.get(PEERS).post(other, notice)
         await asyncio.sleep(0.1)
         assert (await newest.async_commit([Change("k", b"v")], 1_000)).is_ok()
@@ -131,11 +132,11 @@
     run_fleet(async_body, "a", "b")
 
 
-def test_the_last_vm_to_leave_serves_until_it_closes() -> None:
-    """The only VM of a fleet leaves gracefully and callers come with addresses given out before.
+def test_last_leaving_vm_serves_until_it_closes() -> None:
+    """The only VM of a fleet leaves while callers still use addresses that they got before.
 
-    Nobody else can own its partitions. Released at once, they would make it refuse these callers,
-    though it serves until the addresses have run out.
+    No other VM can own its partitions. If it released them at once it would refuse these callers,
+    although it serves until the addresses have expired.
     """
 
     async def async_body(fleet: Fleet) -> None:
@@ -148,11 +149,11 @@
     run_fleet(async_body, "a")
 
 
-def test_an_owner_that_releases_does_not_refer_to_itself() -> None:
-    """A VM looks a partition's owner up in the store while its own release is on the way.
+def test_releasing_owner_does_not_refer_to_itself() -> None:
+    """A VM reads a partition's owner from the store while its own release is in progress.
 
-    The row still names it. Believed, the VM sent its own customers' requests to itself for a
-    second, while the next owner already served.
+    The row still names the VM. If it recorded that, it would send its customers' requests to itself
+    for a second while the next owner already serves them.
     """
 
     async def async_body(fleet: Fleet) -> None:
@@ -169,11 +170,11 @@
     run_fleet(async_body, "a", "b")
 
 
-def test_a_joining_vm_soon_has_its_part_and_is_ready() -> None:
-    """A VM joins a fleet of one; it should take over half of the partitions.
+def test_joining_vm_soon_owns_its_share_and_is_ready() -> None:
+    """A VM joins a fleet of one and should take over half of the partitions.
 
-    The owner let one go at each sweep, a second apart, whatever the pace allowed: the new VM had its
-    part after half a minute, and did not say that it was ready before that.
+    Guards against an owner that releases one partition at each sweep, a second apart, whatever the
+    pace allows: the new VM would not have its share, and would not be ready, for half a minute.
     """
 
     async def async_test() -> None:
--- a/tests/components/ledger/test_histories.py
+++ b/tests/components/ledger/test_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of several VMs on one faulty store, checked against what callers were told."""
+"""Random histories of several VMs on a faulty store, checked against the results of commits."""
 
 import asyncio
 from typing import Any
@@ -33,7 +33,7 @@
 
 
 class RecordingPlatform(FakePlatform):
-    """Checks at every write that an epoch has one owner and never goes back."""
+    """Checks at every write that an epoch has one owner and never decreases."""
 
     def __init__(self) -> None:
         super().__init__(LoopClock())
@@ -51,6 +51,8 @@
         return super()._apply(write)
 
 
+# Hypothesis derives its seed from the source of this class, comments aside: any change of it checks
+# other histories, which may be too few to detect a planted fault.
 class LedgerHistory(RuleBasedStateMachine):
     """Each commit names the one before it, so what is kept must form one chain."""
 
@@ -188,13 +190,13 @@
     monkeypatch.setattr(garbage, "GARBAGE_GRACE_MS", 500)
 
 
-def test_histories_keep_what_was_acknowledged() -> None:
-    """VMs pause, expire, leave and join while the store fails and loses answers."""
+def test_acknowledged_commits_survive_random_histories() -> None:
+    """VMs pause, expire, leave and join while the store fails and loses responses."""
     run_state_machine_as_test(LedgerHistory, settings=SETTINGS)
 
 
 def plant_blind_write(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Write over whatever version stands."""
+    """Write without a check of the row's version."""
     genuine = VmTable.async_write
 
     async def async_write(self: VmTable, writes: Any) -> Any:
@@ -207,7 +209,7 @@
 
 
 def plant_early_acknowledgement(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Tell the caller before the write."""
+    """Acknowledge a commit before it is written."""
 
     def add(self: Stage, changes: Any, timeout_ms: int) -> Any:
         done = genuine(self, changes, timeout_ms)
@@ -218,8 +220,8 @@
     monkeypatch.setattr(Stage, "add", add)
 
 
-def plant_lone_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Refuse a timed-out commit and leave those that rest on it."""
+def plant_refusal_without_later_commits(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Refuse a timed-out commit but keep the later ones that were staged on top of it."""
 
     def roll_back(self: Stage, position: int, reason: str) -> None:
         for commit in self._commits[position : position + 1]:
@@ -230,18 +232,18 @@
     monkeypatch.setattr(Stage, "_roll_back", roll_back)
 
 
-def plant_refused_in_flight(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Call a write refused whose outcome is unknown."""
+def plant_refusal_of_unknown_outcome(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Report a write with an unknown outcome as refused."""
     monkeypatch.setattr(stage, "CommitUnknown", CommitRefused)
 
 
-def plant_shared_epoch(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Lose a partition only by its owner's name, as if the epoch did not matter."""
+def plant_ignored_epoch(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Resolve a commit in flight without a look at the epoch that ended the ownership."""
 
-    def judge(self: Any, head: Any, maybe_written: bool) -> CommitResult:
+    def resolve_outcome(self: Any, head: Any, maybe_written: bool) -> CommitResult:
         return OK_RESULT
 
-    monkeypatch.setattr(partition.OwnedPartition, "_resolve_outcome", judge)
+    monkeypatch.setattr(partition.OwnedPartition, "_resolve_outcome", resolve_outcome)
 
 
 @pytest.mark.parametrize(
@@ -249,12 +251,14 @@
     [
         plant_blind_write,
         plant_early_acknowledgement,
-        plant_lone_refusal,
-        plant_refused_in_flight,
-        plant_shared_epoch,
+        plant_refusal_without_later_commits,
+        plant_refusal_of_unknown_outcome,
+        plant_ignored_epoch,
     ],
 )
-def test_histories_show_planted_faults(plant: Any, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_random_histories_detect_planted_faults(
+    plant: Any, monkeypatch: pytest.MonkeyPatch
+) -> None:
     plant(monkeypatch)
     with pytest.raises((AssertionError, KeyError, ExceptionGroup)):
         run_state_machine_as_test(LedgerHistory, settings=SETTINGS)
--- a/tests/components/ledger/test_ledger.py
+++ b/tests/components/ledger/test_ledger.py
@@ -1,4 +1,4 @@
-"""Ownership, commits and failures of the ledger."""
+"""Ownership and commits of the ledger, and their failures."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -36,7 +36,7 @@
     return list_owners(fleet).index(session)
 
 
-def test_each_partition_has_the_wanted_owner() -> None:
+def test_each_partition_has_the_desired_owner() -> None:
     async def async_body(fleet: Fleet) -> None:
         assert set(list_owners(fleet)) == {"a", "b"}
         for index, owner in enumerate(list_owners(fleet)):
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("leave", ["leaving", "closed"])
-def test_a_leaving_vm_hands_everything_over(leave: str) -> None:
+def test_leaving_vm_hands_over_all_partitions(leave: str) -> None:
     async def async_body(fleet: Fleet) -> None:
         index = find_owned(fleet, "a")
         await fleet.vms["a"].get_owned(index).async_commit([Change("k", b"v")], 1000)
@@ -60,10 +60,10 @@
     run_fleet(async_body)
 
 
-def test_an_acknowledged_commit_outlives_its_owner() -> None:
+def test_acknowledged_commit_survives_its_owner() -> None:
     """A VM dies right after it acknowledged a commit.
 
-    The caller was told that it is kept; the next owner must find it, though nobody handed over.
+    The next owner must find the commit although there was no handover.
     """
 
     async def async_body(fleet: Fleet) -> None:
@@ -79,11 +79,11 @@
 
 
 @pytest.mark.parametrize("staged", ["before the pause", "after the pause"])
-def test_a_paused_owner_is_fenced_by_the_store(staged: str) -> None:
-    """An owner is paused, its session expires, another VM takes over, and it wakes.
+def test_paused_owner_is_fenced_by_the_store(staged: str) -> None:
+    """An owner is paused, its session expires, another VM takes over, and the owner resumes.
 
-    It still believes that it owns the partition. Whatever it then commits must be refused, or a
-    record of the new owner would be overwritten.
+    It still assumes that it owns the partition. Its commits must be refused, or they would
+    overwrite records of the new owner.
     """
 
     async def async_body(fleet: Fleet) -> None:
@@ -108,11 +108,11 @@
     run_fleet(async_body)
 
 
-def test_an_answer_lost_after_effect_is_settled_by_reading_back() -> None:
-    """The store commits a write and its answer is lost.
+def test_lost_response_is_resolved_by_reading_back() -> None:
+    """The store applies a write and its response is lost.
 
-    The caller must be told that it is kept, and the next commit must not be refused for the
-    version that the lost answer would have named.
+    The commit must be acknowledged, and the next one must not be refused because of the version
+    that the lost response contained.
     """
 
     async def async_body(fleet: Fleet) -> None:
@@ -127,11 +127,11 @@
     run_fleet(async_body)
 
 
-def test_changes_never_sent_are_taken_back_with_those_that_rest_on_them() -> None:
+def test_unsent_commits_are_rolled_back_with_later_ones() -> None:
     """The store is down for minutes while callers commit.
 
-    The first caller gives up and is told "refused". A later one read the first one's staged
-    record and wrote over it; it must be refused too, or it would be kept without its ground.
+    The first commit times out and is refused. A later one was based on its staged record; it must
+    be refused too, or it would become durable without the record that it is based on.
     """
 
     async def async_body(fleet: Fleet) -> None:
@@ -154,10 +154,10 @@
     run_fleet(async_body)
 
 
-def test_a_commit_under_way_at_its_timeout_is_unknown() -> None:
-    """A write takes effect, its answer is lost, and the store goes down before it is read back.
+def test_commit_in_flight_at_its_timeout_is_unknown() -> None:
+    """A write takes effect, its response is lost, and the store fails before it is read back.
 
-    The caller's time is up: "refused" would be a lie.
+    The commit times out. Its result must be unknown: refused would be wrong.
     """
 
     async def async_body(fleet: Fleet) -> None:
@@ -212,10 +212,11 @@
     run_fleet(async_body)
 
 
-def test_a_loader_that_meets_a_deleted_segment_gives_way() -> None:
-    """A VM claims a partition and is paused in its load; another takes over, compacts, deletes.
+def test_load_of_deleted_segment_ends_after_newer_claim() -> None:
+    """A VM is paused while it loads a partition; another one takes over, compacts and deletes.
 
-    Woken, the first finds its segment gone. It must neither serve an empty partition nor hang.
+    The first one resumes and finds its segment deleted. It must neither serve an empty partition
+    nor hang.
     """
 
     async def async_body(fleet: Fleet) -> None:
@@ -234,11 +235,11 @@
     run_fleet(async_body)
 
 
-def test_a_vm_that_has_just_started_robs_nobody() -> None:
-    """A VM starts while the store or the other VMs are slow to tell it who is there.
+def test_new_vm_does_not_claim_from_live_owners() -> None:
+    """A VM starts, and the store or its peers are slow to send it the members.
 
-    For some seconds it sees itself alone. If it took every owner that it does not see for gone,
-    it would claim the whole key space, and all work would stop until it was handed back.
+    For some seconds it sees only itself. If it assumed that every owner it does not see is gone, it
+    would claim the whole key space, and all work would stop until the partitions are handed back.
     """
 
     async def async_body(fleet: Fleet) -> None:
@@ -257,8 +258,8 @@
     run_fleet(async_body, 16)
 
 
-def test_a_lone_vm_soon_serves_all_partitions() -> None:
-    """A fleet starts anew; until a key's partition has an owner its callers are refused."""
+def test_single_vm_soon_serves_all_partitions() -> None:
+    """A fleet starts; callers are refused until the partitions of their keys have an owner."""
 
     async def async_test() -> None:
         fleet = Fleet(64)
@@ -273,11 +274,11 @@
     run_virtual(async_test())
 
 
-def test_an_owner_goes_on_through_an_outage() -> None:
-    """A VM joins while the store is down, so that some partitions are wanted elsewhere.
+def test_owner_keeps_partitions_during_store_outage() -> None:
+    """A VM joins while the store is down, so that it is the desired owner of some partitions.
 
-    A release cannot be written now. If the owner began one it would refuse work that it can hold
-    until the store is back, and no other VM could take it.
+    Releases cannot be written. An owner that started one would refuse work that it can keep until
+    the store is back, and no other VM could accept that work.
     """
 
     async def async_body(fleet: Fleet) -> None:
@@ -292,10 +293,10 @@
     run_fleet(async_body, 16)
 
 
-def test_tries_during_an_outage_of_the_table_leave_no_objects() -> None:
-    """The table is down for a minute and the object store is not, while a large commit waits.
+def test_attempts_during_table_outage_leave_no_objects() -> None:
+    """The table is down for a minute, but not the object store, while a large commit waits.
 
-    Operators would see the object store grow with each try, by objects that nothing names.
+    Guards against an object store that grows with each attempt by objects that no head row names.
     """
 
     async def async_body(fleet: Fleet) -> None:
@@ -314,10 +315,10 @@
     run_fleet(async_body)
 
 
-def test_a_vm_whose_session_was_renewed_goes_on() -> None:
-    """A VM was cut off so long that its session expired; it lives, and takes a new session.
+def test_vm_with_renewed_session_owns_partitions_again() -> None:
+    """A VM is cut off until its session expires, and then gets a new session.
 
-    Its partitions must be served by somebody all the same, with every record.
+    Each partition must have an owner again, with all its records.
     """
 
     async def async_body(fleet: Fleet) -> None:
--- a/tests/components/ledger/test_objects.py
+++ b/tests/components/ledger/test_objects.py
@@ -1,4 +1,4 @@
-"""Objects of the ledger: what a killed owner leaves behind, and pauses of the loop."""
+"""Objects of the ledger: those that a killed owner leaves behind, and their encoding."""
 
 import asyncio
 from typing import Any
@@ -12,11 +12,11 @@
 LARGE = b"x" * 40_000
 
 
-def test_objects_of_a_killed_owner_are_deleted() -> None:
-    """An owner stores a segment and is killed before the head row names it.
+def test_objects_of_killed_owner_are_deleted() -> None:
+    """An owner stores a segment and is killed before it writes the head row that names it.
 
-    Nothing names the object any more. Operators would see the object store grow with every killed
-    VM, by objects that nobody can tell from live ones.
+    Guards against an object store that grows with every killed VM by objects that no row names and
+    that cannot be told from those in use.
     """
 
     async def async_test() -> None:
@@ -41,25 +41,26 @@
     run_virtual(async_test())
 
 
-def test_a_large_snapshot_lets_the_loop_go_on() -> None:
-    """A partition of many records is compacted or loaded while online streams run on the same loop.
+def test_large_snapshot_does_not_block_the_event_loop() -> None:
+    """A large partition is compacted or loaded while online streams run on the same event loop.
 
-    Done in one go, every stream of the VM stood still for hundreds of milliseconds.
+    Encoding or decoding all records at once would block every stream of the VM for hundreds of
+    milliseconds.
     """
 
     async def async_test() -> None:
         changes = [Change(f"key{number}", b"value") for number in range(10 * CHUNK_RECORDS)]
         coding = asyncio.ensure_future(async_encode_changes(iter(changes)))
-        assert await async_count_turns(coding) >= 10
+        assert await async_count_loop_turns(coding) >= 10
         decoding = asyncio.ensure_future(async_decode_changes(await coding))
-        assert await async_count_turns(decoding) >= 10
+        assert await async_count_loop_turns(decoding) >= 10
         assert await decoding == changes
 
     run_virtual(async_test())
 
 
-async def async_count_turns(task: "asyncio.Future[Any]") -> int:
-    """Return how often others had the loop until a task ended."""
+async def async_count_loop_turns(task: "asyncio.Future[Any]") -> int:
+    """Return how often the event loop ran other tasks until a task ended."""
     turns = 0
     while not task.done():
         turns += 1
