--- a/goldcreststair/components/membership/errors.py
+++ b/goldcreststair/components/membership/errors.py
@@ -7,9 +7,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipError(GoldcreststairError):
-    """A step that was not taken; it is tried again."""
+    """A step failed; it is retried."""
 
 
 @dataclass(frozen=True, slots=True)
 class SessionLost(MembershipError):
-    """The own session row is gone: others have judged this session expired."""
+    """This VM's session row is gone: another VM has found the session expired."""
--- a/goldcreststair/components/membership/expiry.py
+++ b/goldcreststair/components/membership/expiry.py
@@ -1,4 +1,4 @@
-"""Judges from an observer's own reads whether a session has expired."""
+"""Decides from an observer's own reads whether a session has expired."""
 
 from dataclasses import dataclass
 
@@ -8,43 +8,43 @@
 
 @dataclass(slots=True)
 class _Observed:
-    beat: int
+    heartbeat: int
     read_at: Millis
-    still_ms: int = 0
+    unchanged_ms: int = 0
 
 
-class ExpiryJudge:
-    """Adds up the time over which a counter did not move.
+class ExpiryTracker:
+    """Adds up the time in which a session's heartbeat counter did not change.
 
-    >>> judge = ExpiryJudge(longest_gap_ms=20_000)
-    >>> [judge.observe("a", 7, Millis(at)) for at in (0, 10_000, 20_000, 30_000)]
+    >>> tracker = ExpiryTracker(longest_gap_ms=20_000)
+    >>> [tracker.observe("a", 7, Millis(at)) for at in (0, 10_000, 20_000, 30_000)]
     [False, False, False, True]
     """
 
     def __init__(self, longest_gap_ms: int) -> None:
-        """Count no gap between two reads that is longer than `longest_gap_ms`."""
+        """Create a tracker that ignores gaps between two reads longer than `longest_gap_ms`."""
         self._longest_gap_ms = longest_gap_ms
         self._observed: dict[str, _Observed] = {}
 
-    def observe(self, session_id: str, beat: int, at: Millis) -> bool:
-        """Take one successful read; returns whether the session is expired."""
+    def observe(self, session_id: str, heartbeat: int, at: Millis) -> bool:
+        """Record one successful read; returns whether the session has expired."""
         seen = self._observed.get(session_id)
-        if seen is None or seen.beat != beat:
-            self._observed[session_id] = _Observed(beat, at)
+        if seen is None or seen.heartbeat != heartbeat:
+            self._observed[session_id] = _Observed(heartbeat, at)
             return False
         gap_ms = at - seen.read_at
-        # An observer that was paused, or whose store was away, has not watched in the gap, and
-        # the owner may have been as unable to write as it was to read.
+        # A long gap means that the observer was paused or could not reach the store. The owner of
+        # the session may have been unable to write at the same time.
         if gap_ms <= self._longest_gap_ms:
-            seen.still_ms += gap_ms
+            seen.unchanged_ms += gap_ms
         seen.read_at = at
-        return seen.still_ms >= EXPIRY_MS
+        return seen.unchanged_ms >= EXPIRY_MS
 
-    def note_failure(self, at: Millis) -> None:
-        """Take a failed read: the time up to it does not count."""
+    def record_failure(self, at: Millis) -> None:
+        """Record a failed read: the time before it does not count."""
         for seen in self._observed.values():
             seen.read_at = at
 
     def keep(self, session_ids: set[str]) -> None:
-        """Forget all others."""
+        """Remove all sessions other than these."""
         self._observed = {key: seen for key, seen in self._observed.items() if key in session_ids}
--- a/goldcreststair/components/membership/gossip.py
+++ b/goldcreststair/components/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Passes on what is new, and finds out by digests what was missed."""
+"""Gossip: sends changes to partners and detects missed ones by comparing digests."""
 
 import asyncio
 from typing import Any, Final, Protocol
@@ -36,7 +36,7 @@
 
 
 class GossipState(Protocol):
-    """What gossip reads and what it tells."""
+    """State that gossip sends to and receives from other VMs."""
 
     table: MemberTable
     sets: SharedSetTable
@@ -45,18 +45,18 @@
     def read_version(self) -> int:
         """Return the configuration version in force here."""
 
-    def take_version(self, version: int, session_id: str) -> None:
-        """Hear which version another daemon has."""
+    def record_peer_version(self, version: int, session_id: str) -> None:
+        """Record the configuration version of another daemon if it is newer."""
 
-    def take_record(self, record: Record) -> None:
-        """Hear news of a session."""
+    def apply_record(self, record: Record) -> None:
+        """Apply a session's record."""
 
 
 class Gossiper:
-    """Sends changes to all partners at once, and digests to some of them each second."""
+    """Sends changes to all partners at once and digests to some of them each second."""
 
     def __init__(self, core: Core, state: GossipState) -> None:
-        """Register the messages."""
+        """Register the message types."""
         self._core = core
         self._state = state
         self._peers = core.get(ENDPOINT_LINKS)
@@ -74,7 +74,7 @@
         self._peers.register(NUMBER_EVERYTHING, Everything, None)
 
     def close(self) -> None:
-        """Send nothing more."""
+        """Stop sending."""
         if self._flush is not None:
             self._flush.cancel()
         for task in self._tasks:
@@ -89,17 +89,17 @@
         return self._partners
 
     def push_record(self, record: Record) -> None:
-        """Pass news of a session on."""
+        """Send a session's record to all partners."""
         self._records[record.session_id] = record
         self._schedule()
 
     def push_items(self, items: list[Item]) -> None:
-        """Pass new items on."""
+        """Send new items to all partners."""
         self._items += items
         self._schedule()
 
     def push(self) -> None:
-        """Tell all partners the digests, as when a new configuration is in force."""
+        """Send the digests to all partners, for example after a configuration change."""
         self._schedule()
 
     async def async_run(self) -> None:
@@ -109,18 +109,18 @@
             self.tick()
 
     def tick(self) -> None:
-        """Send digests and loads to the partners whose turn it is."""
+        """Send digests and loads to the next partners in turn."""
         partners = self.choose_partners()
         if not partners:
             return
         message = self._make()
-        message.loads = [pack_load(load) for load in self._state.loads.take_news()] or None
+        message.loads = [pack_load(load) for load in self._state.loads.pop_changed()] or None
         for _ in range(min(GOSSIP_FANOUT, len(partners))):
             self._turn += 1
             self._peers.post(partners[self._turn % len(partners)], message)
 
     def flush(self) -> None:
-        """Send what waits to be passed on."""
+        """Send the pending records and items."""
         self._flush = None
         message = self._make()
         records = list(self._records.values())[:MAX_GOSSIP_ENTRIES]
@@ -135,15 +135,17 @@
             self._schedule()
 
     async def async_fetch(self, endpoint: Endpoint) -> bool:
-        """Take everything another daemon knows and give it what it lacks; False if it failed."""
+        """Fetch another daemon's whole state and send it what it lacks; False if this failed."""
         offset, theirs = 0, []
         while offset >= 0:
-            asked = await self._peers.async_request_at(endpoint, FetchAll(offset), FETCH_TIMEOUT_MS)
-            if isinstance(asked, Err):
+            fetched = await self._peers.async_request_at(
+                endpoint, FetchAll(offset), FETCH_TIMEOUT_MS
+            )
+            if isinstance(fetched, Err):
                 return False
-            page = asked.ok_value
+            page = fetched.ok_value
             theirs += [unpack_record(struct) for struct in page.members]
-            self._take(endpoint.session_id, page)
+            self._apply(endpoint.session_id, page)
             offset = page.next_offset
         if endpoint.session_id:
             missing = self._state.table.find_missing(theirs)
@@ -163,14 +165,15 @@
         return Gossip(state.read_version(), state.table.digest, state.sets.digest)
 
     async def _async_on_gossip(self, session_id: str, message: Any) -> None:
-        self._take(session_id, message)
+        self._apply(session_id, message)
         state = self._state
         state.loads.merge(unpack_load(struct) for struct in message.loads or ())
         same = (message.member_digest, message.item_digest) == (
             state.table.digest,
             state.sets.digest,
         )
-        # News under way make digests differ for a moment; only a lasting difference is a loss.
+        # Changes in flight make the digests differ for a moment; only a lasting difference means
+        # that a change was missed.
         if same:
             self._mismatches.pop(session_id, None)
             return
@@ -187,11 +190,11 @@
         self._mismatches = {}
         self._spawn(self.async_fetch(Endpoint(member.address, member.peer_port, session_id)))
 
-    def _take(self, session_id: str, message: Any) -> None:
+    def _apply(self, session_id: str, message: Any) -> None:
         for struct in message.members or ():
-            self._state.take_record(unpack_record(struct))
+            self._state.apply_record(unpack_record(struct))
         self._state.sets.merge(unpack_item(struct) for struct in message.items or ())
-        self._state.take_version(message.configuration_version, session_id)
+        self._state.record_peer_version(message.configuration_version, session_id)
 
     async def _async_on_fetch(self, session_id: str, message: Any) -> Any:
         state = self._state
--- a/goldcreststair/components/membership/models.py
+++ b/goldcreststair/components/membership/models.py
@@ -1,4 +1,4 @@
-"""The fleet as this VM sees it."""
+"""Models of membership: this VM's view of the fleet."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 
 class MemberState(StrEnum):
-    """Where a daemon stands in its life."""
+    """Lifecycle state of a daemon."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -22,19 +22,19 @@
 
     session_id: str
     address: str
-    """IP number."""
+    """IP address."""
     http_port: int
     peer_port: int
     data_centre: str
     region: str
     state: MemberState
     slot: int = -1
-    """Number among the fleet's slots for static limit shares; -1 before one is claimed."""
+    """Number of its slot, which determines its static limit share; -1 before one is claimed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Members:
-    """All sessions believed alive, by session id; always holds this VM's own."""
+    """All sessions assumed to be alive, by session id; always contains this VM's own."""
 
     own_session_id: str = ""
     by_session: Mapping[str, Member] = field(default_factory=dict)
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberLoads:
-    """Online requests in flight at each member, as last heard; old by some seconds."""
+    """Online requests in flight at each member as last reported, some seconds ago."""
 
     by_session: Mapping[str, int] = field(default_factory=dict)
 
@@ -55,11 +55,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerVersion:
-    """The highest configuration version heard from a peer that is not in force here."""
+    """The highest configuration version reported by a peer, if newer than this VM's own."""
 
     version: int = 0
     session_id: str = ""
-    """Who has it."""
+    """The peer that reported it."""
 
 
 PEER_VERSION: Final = SectionKey[PeerVersion]("heard_version")
--- a/goldcreststair/components/membership/records.py
+++ b/goldcreststair/components/membership/records.py
@@ -1,4 +1,4 @@
-"""Members, items and loads to and from the wire."""
+"""Converts members, items and loads to Thrift structs and back."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 
 
 def pack_record(record: Record) -> Any:
-    """Return a record as its struct."""
+    """Return the struct of a record."""
     member = record.member
     if member is None:
         return MemberRecord(record.session_id, record.version, True)
@@ -29,7 +29,7 @@
 
 
 def unpack_record(struct: Any) -> Record:
-    """Return a struct's record."""
+    """Return the record of a struct."""
     if struct.gone:
         return Record(struct.session_id, struct.version, None)
     member = Member(
@@ -46,20 +46,20 @@
 
 
 def pack_item(item: Item) -> Any:
-    """Return an item as its struct."""
+    """Return the struct of an item."""
     return SetItem(item.set_name, item.text, item.lifetime_ms)
 
 
 def unpack_item(struct: Any) -> Item:
-    """Return a struct's item."""
+    """Return the item of a struct."""
     return Item(struct.set_name, struct.item, struct.lifetime_ms)
 
 
 def pack_load(load: Load) -> Any:
-    """Return a load as its struct."""
+    """Return the struct of a load."""
     return LoadEntry(load.slot, load.in_flight, load.round)
 
 
 def unpack_load(struct: Any) -> Load:
-    """Return a struct's load."""
+    """Return the load of a struct."""
     return Load(struct.slot, struct.in_flight, struct.round)
--- a/goldcreststair/components/membership/ring.py
+++ b/goldcreststair/components/membership/ring.py
@@ -1,21 +1,21 @@
-"""Who watches and who talks to whom, computed alike everywhere from the session ids."""
+"""Chooses watched sessions and gossip partners, the same on every VM for the same session ids."""
 
 import hashlib
 from collections.abc import Collection
 from functools import lru_cache
 
-from goldcreststair.components.membership.const import PARTNERS, RING_PARTNERS, WATCHED
+from goldcreststair.components.membership.const import PARTNERS, RING_PARTNERS, WATCHED_ROWS
 
 
 @lru_cache(maxsize=4096)
 def hash_text(text: str) -> int:
-    """Return 64 signed bits that are the same in every process."""
+    """Return a signed 64-bit hash that is the same in every process."""
     digest = hashlib.blake2b(text.encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big", signed=True)
 
 
 def find_successors(own: str, sessions: Collection[str], count: int) -> tuple[str, ...]:
-    """Return the next sessions after `own` on the ring.
+    """Return the next `count` sessions after `own` on the hash ring.
 
     >>> len(find_successors("a", ["a", "b", "c"], 3))
     2
@@ -29,13 +29,14 @@
 
 def choose_watched(own: str, sessions: Collection[str]) -> tuple[str, ...]:
     """Return the sessions whose rows `own` watches."""
-    return find_successors(own, sessions, WATCHED)
+    return find_successors(own, sessions, WATCHED_ROWS)
 
 
 def choose_partners(own: str, sessions: Collection[str]) -> tuple[str, ...]:
     """Return the sessions that `own` gossips to.
 
-    The ring keeps the graph connected, the random rest keeps it a few steps wide.
+    The ring successors keep the gossip graph connected; the others, chosen by hash, keep its
+    diameter small.
     """
     ring = find_successors(own, sessions, RING_PARTNERS)
     rest = [name for name in sessions if name != own and name not in ring]
--- a/goldcreststair/components/membership/rows.py
+++ b/goldcreststair/components/membership/rows.py
@@ -1,4 +1,4 @@
-"""A session's row in the table."""
+"""Encoding of session rows in the table service."""
 
 import dataclasses
 from dataclasses import dataclass
@@ -11,29 +11,29 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionRow:
-    """What a VM writes of itself."""
+    """The row that a VM writes about its own session."""
 
     member: Member
-    beat: int
-    """Grows with every write."""
+    heartbeat: int
+    """Counter that grows with every write; stored as `beat`."""
     version: int
-    """Grows when the member's own facts change."""
+    """Counter that grows when `member` changes."""
 
 
 def name_row(session_id: str) -> str:
-    """Return the row's key."""
+    """Return the key of a session's row."""
     return ROW_SESSION + session_id
 
 
 def encode_row(row: SessionRow) -> bytes:
-    """Return the row's value."""
+    """Return the value of a row."""
     return orjson.dumps(
-        {"beat": row.beat, "version": row.version, "member": dataclasses.asdict(row.member)}
+        {"beat": row.heartbeat, "version": row.version, "member": dataclasses.asdict(row.member)}
     )
 
 
 def decode_row(value: bytes) -> SessionRow:
-    """Return the row of a value that `encode_row` made."""
+    """Return the row from a value that `encode_row` returned."""
     raw = orjson.loads(value)
     member = raw["member"]
     member["state"] = MemberState(member["state"])
--- a/goldcreststair/components/membership/service.py
+++ b/goldcreststair/components/membership/service.py
@@ -1,4 +1,4 @@
-"""Keeps the sections of membership up to date from the store and from gossip."""
+"""Updates the blackboard sections of membership from the store and from gossip."""
 
 import asyncio
 import logging
@@ -38,14 +38,14 @@
     """Implements `Membership`."""
 
     def __init__(self, core: Core) -> None:
-        """Open the sections; they hold only this VM until the store or a peer answers."""
+        """Open the sections; they contain only this VM until the store or a peer responds."""
         self._core = core
         self._peers = core.get(ENDPOINT_LINKS)
         self.table = MemberTable(core.clock)
         self.sets = SharedSetTable(core.clock, lambda items: self._gossip.push_items(items))
         self.loads = LoadTable()
         self.session = OwnSession(core, self._on_own_change)
-        self.watcher = Watcher(core, self.table, self.take_record)
+        self.watcher = Watcher(core, self.table, self.apply_record)
         self._gossip = Gossiper(core, self)
         self._probe = ProcessProbe(core, self.table, self.watcher.async_expire)
         self._synchronised = False
@@ -53,15 +53,15 @@
         board = core.blackboard
         self._members = board.open_section(MEMBERS, self._describe())
         self._loads = board.open_section(MEMBER_LOADS, MemberLoads())
-        self._heard = board.open_section(PEER_VERSION, PeerVersion())
+        self._peer_version = board.open_section(PEER_VERSION, PeerVersion())
         self._unsubscribe = board.subscribe(CONFIGURATION, lambda _: self._gossip.push())
 
     async def async_start(self) -> None:
-        """Register and read the fleet once; an absent store is tried again, never fatal."""
+        """Register and read the fleet once; if the store fails, both are retried later."""
         await self.watcher.async_step()
         first = await self.session.async_step()
         if isinstance(first, Err):
-            _LOGGER.warning("Not registered yet: %s", first.err_value.message)
+            _LOGGER.warning("Session is not registered yet: %s", first.err_value.message)
         self._synchronised = self.watcher.answered_at is not None and not self._list_others()
         for run in (
             self.session.async_run,
@@ -74,7 +74,7 @@
             self._tasks.append(asyncio.create_task(run()))
 
     async def async_close(self) -> None:
-        """End the session, so that nobody waits for its expiry."""
+        """End the session, so that other VMs need not wait for it to expire."""
         if not self._tasks:
             return
         self._unsubscribe()
@@ -88,22 +88,22 @@
         self._gossip.close()
 
     def set_state(self, state: MemberState) -> None:
-        """Change this VM's state and tell all partners at once."""
+        """Change this VM's state and send it to all gossip partners at once."""
         self.session.set_state(state)
 
     def is_isolated(self) -> bool:
-        """Return whether this VM cannot know what was withdrawn lately."""
+        """Return whether this VM may have missed recent withdrawals."""
         if not self._synchronised:
             return True
         answered_at = self.watcher.answered_at or 0
         if self._core.clock.now() - answered_at <= STORE_SILENT_MS:
             return False
-        # Members that died in a store outage stay listed; links that others opened make up for
-        # partners among them.
+        # Members that died during a store outage stay in the list. If some of the partners are such
+        # members, links that other VMs opened count in their place.
         return self._peers.count_reachable() * 2 < len(self._gossip.choose_partners())
 
     def find_slot(self) -> int:
-        """Return this VM's slot, or -1 without one that is certainly its own at this moment."""
+        """Return this VM's slot, or -1 if another VM may hold it now."""
         return self.session.find_slot()
 
     def read_version(self) -> int:
@@ -111,16 +111,16 @@
         configuration = self._core.blackboard.find(CONFIGURATION)
         return configuration.version if configuration else 0
 
-    def take_version(self, version: int, session_id: str) -> None:
-        """Hear which version another daemon has."""
+    def record_peer_version(self, version: int, session_id: str) -> None:
+        """Record the configuration version of another daemon if it is newer."""
         if session_id and version > self.read_version():
-            self._heard.write(PeerVersion(version, session_id))
+            self._peer_version.write(PeerVersion(version, session_id))
 
-    def take_record(self, record: Record) -> None:
-        """Hear news of a session, from the store or from a peer."""
+    def apply_record(self, record: Record) -> None:
+        """Apply a session's record from the store or from a peer."""
         own = self._core.session_id
         if record.session_id == own:
-            # Others have ended this session, while this VM was paused or cut off.
+            # Another VM has ended this session while this VM was paused or cut off.
             if record.member is None and self.session.registered:
                 self.session.renew()
             return
@@ -144,15 +144,15 @@
         return Members(own.session_id, {**self.table.live, own.session_id: own})
 
     async def _async_join(self) -> None:
-        """Fetch from a peer what is not in the store, before this VM trusts what it knows."""
+        """Fetch the state that is not in the store from a peer, until this VM is synchronised."""
         tries = 0
         while not (self._synchronised and self.session.registered):
             endpoints = self._list_others() or await self._async_list_listed()
-            # Nobody gossips to a VM without a row: until the store takes it, it has to ask.
+            # No VM gossips to one without a row: until its row is written, it fetches from peers.
             fetched = await self._async_fetch_any(endpoints)
             tries += 1
-            # A fleet that lost all its VMs leaves only rows of the dead for a while: with the
-            # store answering, nothing can be known that it does not hold.
+            # After the loss of all VMs only rows of dead VMs are left for a while. If the store
+            # responds and no peer does, there is no state beyond that in the store.
             alone = not endpoints or tries >= MAX_JOIN_TRIES
             if fetched or (alone and self.watcher.answered_at is not None):
                 self._synchronised = True
--- a/goldcreststair/components/membership/session.py
+++ b/goldcreststair/components/membership/session.py
@@ -1,4 +1,4 @@
-"""This VM's own session: its row, its heartbeats and its slot."""
+"""This VM's own session: its row, heartbeats and slot."""
 
 import asyncio
 import dataclasses
@@ -10,11 +10,11 @@
 
 from goldcreststair.clock import Millis
 from goldcreststair.components.membership.const import (
-    BEAT_MS,
     PAGE_ROWS,
     RETRY_MS,
     ROW_SLOT,
-    SLOT_RIGHT_MS,
+    SESSION_HEARTBEAT_MS,
+    SLOT_LEASE_MS,
 )
 from goldcreststair.components.membership.errors import MembershipError, SessionLost
 from goldcreststair.components.membership.models import Member, MemberState
@@ -33,16 +33,16 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-RENEWAL_MARK: Final = "-"
+RENEWAL_SEPARATOR: Final = "-"
 
 
 def is_renewed(session_id: str) -> bool:
-    """Return whether a session's process has outlived the end of an earlier session of its own.
+    """Return whether the session's process had an earlier session that was ended.
 
     >>> is_renewed("00c5"), is_renewed("00c5-1")
     (False, True)
     """
-    return RENEWAL_MARK in session_id
+    return RENEWAL_SEPARATOR in session_id
 
 
 def name_slot(slot: int) -> str:
@@ -61,15 +61,15 @@
 
 
 class OwnSession:
-    """Registers, beats, and takes a new session id when the old one has expired."""
+    """Registers, writes heartbeats, and takes a new session id when the old one has expired."""
 
     def __init__(self, core: Core, on_change: Callable[[Record], None]) -> None:
-        """Take the facts of this VM; `on_change` hears of every change of them."""
+        """Create the session; `on_change` is called with every changed record."""
         self._core = core
         self._on_change = on_change
         self._first_id = core.session_id
-        self._lost = 0
-        self._beat = 0
+        self._renewals = 0
+        self._heartbeat = 0
         self._row_version = 0
         self._version = 1
         self._wake = asyncio.Event()
@@ -84,37 +84,38 @@
             MemberState.STARTING,
         )
         self.confirmed_at: Millis | None = None
-        """When the last successful store call began; None before the first."""
+        """Start of the last successful store call; None before the first."""
 
     @property
     def registered(self) -> bool:
-        """Return whether this session has a row, as far as known."""
+        """Return whether this session is known to have a row."""
         return self._row_version > 0
 
     def find_slot(self) -> int:
-        """Return the slot while the last confirmation rules out that another VM has it.
+        """Return the slot, or -1 if the last confirmation is too old to rule out another holder.
 
-        A VM cut off from the store, or paused, is expired by the others after 30 s of their reads
-        and its slot given out 60 s later. Shows as two VMs that spend one static share. Asked at
-        every use, and by this VM's own clock, so that a pause that just ended counts as well.
+        If a VM is paused or cut off from the store, others expire its session after 30 s of their
+        reads and assign its slot to another VM 60 s later. Two VMs would then spend the same static
+        share. It has to be called at every use; this VM's clock then includes a pause that has just
+        ended.
         """
         if self.confirmed_at is None:
             return -1
         age_ms = self._core.clock.now() - self.confirmed_at
-        return self.member.slot if age_ms < SLOT_RIGHT_MS else -1
+        return self.member.slot if age_ms < SLOT_LEASE_MS else -1
 
     @property
     def record(self) -> Record:
-        """Return this session as others shall know it."""
+        """Return the record of this session that is sent to other VMs."""
         return Record(self.member.session_id, self._version, self.member)
 
     async def async_run(self) -> None:
-        """Register and beat until cancelled."""
+        """Register and write heartbeats until cancelled."""
         while True:
             stepped = await self.async_step()
             if isinstance(stepped, Err):
-                _LOGGER.info("Session not confirmed: %s", stepped.err_value.message)
-            delay_ms = RETRY_MS if isinstance(stepped, Err) else BEAT_MS
+                _LOGGER.info("Session not confirmed by the store: %s", stepped.err_value.message)
+            delay_ms = RETRY_MS if isinstance(stepped, Err) else SESSION_HEARTBEAT_MS
             try:
                 async with asyncio.timeout(delay_ms / MS_PER_SECOND):
                     await self._wake.wait()
@@ -123,9 +124,9 @@
             self._wake.clear()
 
     async def async_step(self) -> Result[None, MembershipError]:
-        """Write the row once."""
+        """Register or write one heartbeat."""
         began = self._core.clock.now()
-        step = self._async_beat if self.registered else self._async_register
+        step = self._async_send_heartbeat if self.registered else self._async_register
         stepped = await step()
         if isinstance(stepped, Ok):
             self.confirmed_at = began
@@ -134,18 +135,20 @@
         return stepped
 
     def set_state(self, state: MemberState) -> None:
-        """Change the state and write it as soon as the store allows."""
+        """Change the state and write it as soon as the store accepts it."""
         if self.member.state != state:
             self._change(dataclasses.replace(self.member, state=state))
             self._wake.set()
 
     def renew(self) -> None:
-        """Take a new session id: this one is gone for the others and must never act again."""
-        self._lost += 1
-        _LOGGER.warning("Session %s has expired; taking a new one", self.member.session_id)
+        """Take a new session id; the old session has ended for other VMs and must not act again."""
+        self._renewals += 1
+        _LOGGER.warning(
+            "Session %s of this VM has expired; registering a new one", self.member.session_id
+        )
         self._on_change(Record(self.member.session_id, 0, None))
-        self._core.session_id = f"{self._first_id}{RENEWAL_MARK}{self._lost}"
-        self._beat = self._row_version = 0
+        self._core.session_id = f"{self._first_id}{RENEWAL_SEPARATOR}{self._renewals}"
+        self._heartbeat = self._row_version = 0
         self._version = 1
         member = dataclasses.replace(self.member, session_id=self._core.session_id, slot=-1)
         self.member = member
@@ -153,7 +156,7 @@
         self._wake.set()
 
     async def async_end(self) -> None:
-        """Remove the row and free the slot; left to the watchers if the store does not answer."""
+        """Remove the row and free the slot; if this fails, the watchers do it later."""
         if not self.registered:
             return
         key = name_row(self.member.session_id)
@@ -169,9 +172,9 @@
         own = await table.async_read(key)
         if isinstance(own, Err):
             return Err(MembershipError(own.err_value.message))
-        # The answer of an earlier try may have been lost after it took effect.
+        # An earlier write may have taken effect although its response was lost.
         if own.ok_value is not None:
-            self._adopt(own.ok_value)
+            self._adopt_row(own.ok_value)
             return Ok(None)
         slots = await table.async_scan(ROW_SLOT, limit=PAGE_ROWS)
         if isinstance(slots, Err):
@@ -179,8 +182,8 @@
         slot = find_free_slot(slots.ok_value)
         state = self._state_when_registered()
         member = dataclasses.replace(self.member, slot=slot, state=state)
-        row = SessionRow(member, self._beat, self._version + 1)
-        # Both rows in one write: two VMs that race for a slot cannot both have it.
+        row = SessionRow(member, self._heartbeat, self._version + 1)
+        # Both rows are written in one transaction, so that two VMs cannot get the same slot.
         writes = [
             RowWrite(key, 0, encode_row(row)),
             RowWrite(name_slot(slot), 0, member.session_id.encode()),
@@ -192,29 +195,29 @@
         self._change(member)
         return Ok(None)
 
-    async def _async_beat(self) -> Result[None, MembershipError]:
-        row = SessionRow(self.member, self._beat + 1, self._version)
+    async def _async_send_heartbeat(self) -> Result[None, MembershipError]:
+        row = SessionRow(self.member, self._heartbeat + 1, self._version)
         write = RowWrite(name_row(self.member.session_id), self._row_version, encode_row(row))
         written = await self._core.platform.table.async_write([write])
         if isinstance(written, Err):
-            return self._explain(written.err_value)
+            return self._interpret_error(written.err_value)
         self._row_version = written.ok_value[0]
-        self._beat += 1
+        self._heartbeat += 1
         return Ok(None)
 
-    def _explain(self, error: PlatformError) -> Result[None, MembershipError]:
+    def _interpret_error(self, error: PlatformError) -> Result[None, MembershipError]:
         if not isinstance(error, RowConflict):
             return Err(MembershipError(error.message))
         if error.current is None:
-            return Err(SessionLost("the row is gone"))
-        # Only this VM writes this row: an earlier write took effect and its answer was lost.
+            return Err(SessionLost("the session row is gone"))
+        # Only this VM writes this row, so an earlier write took effect and its response was lost.
         self._row_version = error.current.version
-        self._beat = decode_row(error.current.value).beat
-        return Err(MembershipError("an earlier heartbeat had taken effect"))
+        self._heartbeat = decode_row(error.current.value).heartbeat
+        return Err(MembershipError("an earlier heartbeat took effect, but its response was lost"))
 
-    def _adopt(self, row: Row) -> None:
+    def _adopt_row(self, row: Row) -> None:
         stored = decode_row(row.value)
-        self._row_version, self._beat = row.version, stored.beat
+        self._row_version, self._heartbeat = row.version, stored.heartbeat
         slot, state = stored.member.slot, self._state_when_registered()
         self._change(dataclasses.replace(self.member, slot=slot, state=state))
 
--- a/goldcreststair/components/membership/shared_sets.py
+++ b/goldcreststair/components/membership/shared_sets.py
@@ -1,4 +1,4 @@
-"""Grow-only sets that spread from VM to VM."""
+"""Grow-only sets that are replicated by gossip."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Item:
-    """One item with its remaining lifetime, 0 for ever."""
+    """One item with its remaining lifetime in ms; 0 if it never expires."""
 
     set_name: str
     text: str
@@ -18,12 +18,12 @@
 
 
 class SharedSetTable:
-    """Implements `SharedSets`; `on_news` passes new items on."""
+    """Implements `SharedSets`; `on_new` sends new items to other VMs."""
 
-    def __init__(self, clock: Clock, on_news: Callable[[list[Item]], None]) -> None:
-        """Start empty."""
+    def __init__(self, clock: Clock, on_new: Callable[[list[Item]], None]) -> None:
+        """Create empty sets."""
         self._clock = clock
-        self._on_news = on_news
+        self._on_new = on_new
         self._expires: dict[tuple[str, str], Millis | None] = {}
         self._dated: dict[tuple[str, str], Millis] = {}
         self._digest = 0
@@ -31,7 +31,7 @@
 
     @property
     def digest(self) -> int:
-        """Return a summary of all items in force."""
+        """Return a digest of all items that have not expired."""
         now = self._clock.now()
         for key in [key for key, expires in self._dated.items() if expires <= now]:
             del self._dated[key]
@@ -39,36 +39,36 @@
         return self._digest
 
     def add(self, name: str, item: str, lifetime_ms: int = 0) -> None:
-        """Add an item here and pass it on."""
+        """Add an item on this VM and send it to the others."""
         self.merge([Item(name, item, lifetime_ms)])
 
     def contains(self, name: str, item: str) -> bool:
-        """Return whether the item is in force here."""
+        """Return whether this VM knows the item and it has not expired."""
         return self._is_valid(self._expires.get((name, item), Millis(0)))
 
     def watch(self, name: str, on_added: Callable[[str], None]) -> None:
-        """Call back for every item that becomes known here."""
+        """Register a callback for every item that this VM learns of."""
         self._watchers.setdefault(name, []).append(on_added)
 
     def merge(self, items: Iterable[Item]) -> None:
-        """Take items from here or elsewhere; new ones are announced and passed on."""
+        """Add items of this or another VM; callbacks and other VMs get the new ones."""
         unique = {(item.set_name, item.text): item for item in items}
-        news = [item for key, item in unique.items() if key not in self._expires]
+        new_items = [item for key, item in unique.items() if key not in self._expires]
         now = self._clock.now()
-        for item in news:
+        for item in new_items:
             key = (item.set_name, item.text)
             self._expires[key] = Millis(now + item.lifetime_ms) if item.lifetime_ms else None
             if item.lifetime_ms:
                 self._dated[key] = Millis(now + item.lifetime_ms)
             self._digest ^= _hash_key(key)
-        if news:
-            self._on_news(news)
-        for item in news:
+        if new_items:
+            self._on_new(new_items)
+        for item in new_items:
             for on_added in tuple(self._watchers.get(item.set_name, ())):
                 on_added(item.text)
 
     def list_items(self) -> list[Item]:
-        """Return all items in force."""
+        """Return all items that have not expired."""
         now = self._clock.now()
         found = []
         for name, text in self._iterate():
@@ -77,7 +77,7 @@
         return found
 
     def prune(self) -> None:
-        """Forget what expired long ago."""
+        """Remove items that expired more than `EXPIRED_ITEM_MS` ago."""
         horizon = self._clock.now() - EXPIRED_ITEM_MS
         self._expires = {
             key: at for key, at in self._expires.items() if at is None or at >= horizon
--- a/goldcreststair/components/membership/table.py
+++ b/goldcreststair/components/membership/table.py
@@ -1,4 +1,4 @@
-"""All sessions this VM has heard of, and how news of them merge."""
+"""All sessions known to this VM, and the rules by which updates are merged."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One session's facts, or with `member` None its end."""
+    """The state of one session; `member` is None if it has ended."""
 
     session_id: str
     version: int
@@ -19,15 +19,15 @@
 
 
 class MemberTable:
-    """Sessions by id; a session that has gone never comes back."""
+    """Sessions by id; a session that has ended is never added again."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start empty."""
+        """Create an empty table."""
         self._clock = clock
         self._live: dict[str, Record] = {}
         self._gone: dict[str, Millis] = {}
         self.digest = 0
-        """Summary of all live sessions and their versions."""
+        """Digest of all live sessions and their versions."""
 
     @property
     def live(self) -> dict[str, Member]:
@@ -35,7 +35,7 @@
         return {key: record.member for key, record in self._live.items() if record.member}
 
     def merge(self, record: Record) -> bool:
-        """Take news of one session; returns whether it was new."""
+        """Apply a record of one session; returns whether it changed anything."""
         known = self._live.get(record.session_id)
         if record.session_id in self._gone:
             return False
@@ -54,14 +54,14 @@
         return session_id in self._gone
 
     def list_records(self) -> list[Record]:
-        """Return everything known, ends included."""
+        """Return all known records, those of ended sessions included."""
         gone = [Record(session_id, 0, None) for session_id in self._gone]
         return [*self._live.values(), *gone]
 
     def find_missing(self, records: Iterable[Record]) -> list[Record]:
-        """Return what is known here and not, or older, in `records`."""
+        """Return the known records that are missing or older in `records`."""
         theirs = {record.session_id: record for record in records}
-        return [mine for mine in self.list_records() if _is_news(mine, theirs)]
+        return [mine for mine in self.list_records() if _is_newer(mine, theirs)]
 
     def _replace(self, known: Record | None, record: Record | None) -> None:
         for changed in (known, record):
@@ -73,13 +73,13 @@
             self._live[record.session_id] = record
 
     def _prune(self) -> None:
-        # A forgotten end could be undone by a VM that was cut off for longer than this; the
-        # session's watchers then find no row and end it again.
+        # A VM that was cut off for longer than this may add an ended session again. The watchers of
+        # the session then find no row and end it again.
         horizon = self._clock.now() - TOMBSTONE_MS
         self._gone = {key: at for key, at in self._gone.items() if at >= horizon}
 
 
-def _is_news(mine: Record, theirs: dict[str, Record]) -> bool:
+def _is_newer(mine: Record, theirs: dict[str, Record]) -> bool:
     other = theirs.get(mine.session_id)
     if other is None:
         return True
--- a/tests/components/membership/test_expiry.py
+++ b/tests/components/membership/test_expiry.py
@@ -1,9 +1,9 @@
-"""Expiry counts only what the observer itself has watched."""
+"""Expiry counts only the time that the observer itself has watched."""
 
 import pytest
 
 from goldcreststair.clock import Millis
-from goldcreststair.components.membership.expiry import ExpiryJudge
+from goldcreststair.components.membership.expiry import ExpiryTracker
 
 
 @pytest.mark.parametrize(
@@ -17,18 +17,20 @@
         pytest.param([(0, 1), (15, 1), (16, None), (30, 1), (31, 1)], True, id="after outage"),
     ],
 )
-def test_judges_from_own_reads(steps: list[tuple[int, int | None]], expired: bool) -> None:
-    """Each step is (second, counter read), None for a read that failed.
+def test_expiry_counts_only_observed_time(
+    steps: list[tuple[int, int | None]], expired: bool
+) -> None:
+    """Each step is (second, counter read); the counter is None if the read failed.
 
-    The seconds up to a failed read do not count, nor does a gap in which the observer did not
-    run: the owner may have been as unable to write as the observer was to read.
+    The time before a failed read does not count, and neither does a gap in which the observer did
+    not run: the owner may have been unable to write at the same time.
     """
-    judge = ExpiryJudge(longest_gap_ms=20_000)
-    judged = False
-    for second, beat in steps:
+    tracker = ExpiryTracker(longest_gap_ms=20_000)
+    judged_expired = False
+    for second, heartbeat in steps:
         at = Millis(second * 1000)
-        if beat is None:
-            judge.note_failure(at)
+        if heartbeat is None:
+            tracker.record_failure(at)
         else:
-            judged = judge.observe("a", beat, at)
-    assert judged is expired
+            judged_expired = tracker.observe("a", heartbeat, at)
+    assert judged_expired is expired
--- a/tests/components/membership/test_service.py
+++ b/tests/components/membership/test_service.py
@@ -1,4 +1,4 @@
-"""Who is part of the fleet, through outages, pauses and lost links."""
+"""Membership of the fleet during outages, pauses and lost links."""
 
 import asyncio
 import dataclasses
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 3, 20])
-def test_all_see_all_with_slots_of_their_own(count: int) -> None:
+def test_members_know_each_other_and_have_distinct_slots(count: int) -> None:
     async def async_test(fleet: FakeDaemons) -> None:
         await fleet.async_add_many(count)
         await fleet.async_wait(
@@ -33,11 +33,11 @@
     run_fleet(async_test)
 
 
-def test_store_outage_expires_nobody() -> None:
-    """The store is away for ten minutes, then back.
+def test_store_outage_expires_no_session() -> None:
+    """The store is down for ten minutes.
 
-    No heartbeat was written in that time. Had observers counted it, the whole fleet would expire
-    at the first read after the outage and every partition would change hands.
+    No heartbeat is written in that time. If observers counted it, the whole fleet would expire at
+    the first read after the outage, and every partition would change its owner.
     """
 
     async def async_test(fleet: FakeDaemons) -> None:
@@ -53,11 +53,11 @@
     run_fleet(async_test)
 
 
-def test_paused_vm_wakes_with_a_new_session() -> None:
-    """A VM is paused for minutes; the others take over what it owned; it wakes.
+def test_paused_vm_resumes_with_new_session() -> None:
+    """A VM is paused until its session has expired, and resumes.
 
-    It must not act under its old session: its row is gone, so it registers anew, and the others
-    never take the old session back.
+    It must not act under its old session: it finds its row gone and registers a new one, and the
+    others never accept the old session again.
     """
 
     async def async_test(fleet: FakeDaemons) -> None:
@@ -83,11 +83,11 @@
     run_fleet(async_test)
 
 
-def test_slot_is_not_reused_before_its_leases_ran_out() -> None:
-    """A VM is lost; a new one starts at once.
+def test_slot_is_not_reused_before_its_leases_expire() -> None:
+    """A VM is lost and a new one starts at once.
 
-    The lost VM may still run and spend its static share: the new one must get another slot until
-    the grace has passed, and then the slot is free again.
+    The lost VM may still run and spend its static share, so that a new VM must not get its slot
+    before the grace period has passed.
     """
 
     async def async_test(fleet: FakeDaemons) -> None:
@@ -107,8 +107,8 @@
     run_fleet(async_test)
 
 
-def test_two_vms_racing_for_a_slot_get_two() -> None:
-    """Two VMs start at the same moment and both see slot 0 free: one must take another."""
+def test_vms_starting_together_get_distinct_slots() -> None:
+    """VMs that start at the same time see the same slot free; only one of them may get it."""
 
     async def async_test(fleet: FakeDaemons) -> None:
         fleet.platform.faults.slow_ms = 50
@@ -123,8 +123,8 @@
 
 
 @pytest.mark.parametrize("when", ["registering", "beating"])
-def test_lost_answer_of_a_write_costs_no_session(when: str) -> None:
-    """The store takes a session's write and its answer is lost; the session must live on."""
+def test_session_survives_lost_response_of_a_write(when: str) -> None:
+    """The store applies a write of a session but its response is lost; the session must go on."""
 
     async def async_test(fleet: FakeDaemons) -> None:
         if when == "registering":
@@ -140,8 +140,8 @@
     run_fleet(async_test)
 
 
-def test_start_in_an_outage_is_not_fatal() -> None:
-    """A VM starts while the store is down and the list of VMs lags: it serves later, unaided."""
+def test_vm_starts_during_store_outage() -> None:
+    """A VM starts while the store is down and the list of VMs lags; it joins after the outage."""
 
     async def async_test(fleet: FakeDaemons) -> None:
         fleet.platform.faults.list_lag_ms = 60_000
@@ -161,7 +161,7 @@
 
 
 def test_new_vm_learns_members_from_a_listed_peer() -> None:
-    """The table is down for a new VM, but the platform's list names another VM."""
+    """The table is down for a new VM, but the platform's list contains another VM."""
 
     async def async_test(fleet: FakeDaemons) -> None:
         daemons = await fleet.async_add_many(3)
@@ -178,7 +178,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 40])
-def test_shared_items_reach_all_without_the_store(count: int) -> None:
+def test_shared_items_reach_all_vms_without_the_store(count: int) -> None:
     async def async_test(fleet: FakeDaemons) -> None:
         await fleet.async_add_many(count)
         await asyncio.sleep(30)
@@ -192,8 +192,8 @@
     run_fleet(async_test)
 
 
-def test_item_missed_in_a_partition_is_found_by_digest() -> None:
-    """One VM is cut off while an item is pushed; nobody pushes it again, digests must tell."""
+def test_missed_item_is_found_by_digest() -> None:
+    """An item is sent while one VM is cut off. It is not sent again; digests must show the loss."""
 
     async def async_test(fleet: FakeDaemons) -> None:
         daemons = await fleet.async_add_many(4)
@@ -210,8 +210,8 @@
     run_fleet(async_test)
 
 
-def test_leaving_spreads_while_the_store_is_down() -> None:
-    """Callers must not be sent to a leaving VM, also while the store cannot be written."""
+def test_leaving_state_spreads_during_store_outage() -> None:
+    """Callers must not be sent to a leaving VM, even while the store is down."""
 
     async def async_test(fleet: FakeDaemons) -> None:
         daemons = await fleet.async_add_many(4)
@@ -228,7 +228,7 @@
     run_fleet(async_test)
 
 
-def test_closed_daemon_leaves_nothing_behind() -> None:
+def test_closed_daemon_leaves_no_rows_or_members() -> None:
     async def async_test(fleet: FakeDaemons) -> None:
         daemons = await fleet.async_add_many(3)
         await asyncio.sleep(10)
@@ -244,8 +244,8 @@
     run_fleet(async_test)
 
 
-def test_isolation_needs_both_store_and_peers_away() -> None:
-    """A VM that sees neither store nor peers cannot hear of withdrawals and must say so."""
+def test_vm_is_isolated_only_without_store_and_peers() -> None:
+    """A VM that reaches neither the store nor peers may miss withdrawals and must report that."""
 
     async def async_test(fleet: FakeDaemons) -> None:
         await fleet.async_add_many(3)
@@ -266,25 +266,25 @@
     run_fleet(async_test)
 
 
-def test_owner_that_beats_wins_over_a_watcher() -> None:
-    """A watcher deletes at the version it judged; a later heartbeat makes that a conflict."""
+def test_heartbeat_makes_the_delete_of_a_watcher_fail() -> None:
+    """A watcher deletes a row at the version that it read; a later heartbeat is a conflict."""
 
     async def async_test(fleet: FakeDaemons) -> None:
         daemon = await fleet.async_add()
         key = name_row(daemon.core.session_id)
-        judged = fleet.platform.rows[key].version
+        read_version = fleet.platform.rows[key].version
         await asyncio.sleep(11)
-        deleted = await fleet.platform.async_write([RowWrite(key, judged, None)])
+        deleted = await fleet.platform.async_write([RowWrite(key, read_version, None)])
         assert not isinstance(deleted, Ok)
 
     run_fleet(async_test)
 
 
-def test_lost_rack_is_noticed_by_ring_neighbours_alone() -> None:
-    """Eight of forty VMs vanish at once, some of them each other's watchers.
+def test_ring_watchers_detect_lost_rack() -> None:
+    """Eight of forty VMs are lost at once, some of them each other's watchers.
 
-    No VM scans the whole fleet at this size; the watchers that are left must find one after the
-    other, and end nobody else.
+    At this size no VM scans all rows. The remaining watchers must find the lost sessions one after
+    the other, and end no other session.
     """
 
     async def async_test(fleet: FakeDaemons) -> None:
@@ -308,11 +308,11 @@
     run_fleet(async_test)
 
 
-def test_slot_is_not_used_once_others_may_have_it() -> None:
-    """One VM is cut off from the store for good; the others expire it and give its slot out.
+def test_vm_stops_using_slot_before_it_is_reassigned() -> None:
+    """A VM is cut off from the store; the others expire its session and free its slot.
 
-    It still serves callers. If it went on to spend the slot's share of every customer's limit
-    beside the slot's next holder, the fleet would admit more than rate and burst.
+    It still serves callers. If it continued to spend the slot's share of every customer's limit
+    beside the next holder of the slot, the fleet would admit more than rate and burst.
     """
 
     async def async_test(fleet: FakeDaemons) -> None:
--- a/tests/components/membership/test_shared_sets.py
+++ b/tests/components/membership/test_shared_sets.py
@@ -1,10 +1,10 @@
-"""The digest of a shared set depends on what is in force, not on how it came."""
+"""The digest of shared sets depends on their unexpired items, not on how these were added."""
 
 from goldcreststair.components.membership.shared_sets import Item, SharedSetTable
 from standins.virtual_time import ManualClock
 
 
-def test_digest_depends_on_items_in_force() -> None:
+def test_digest_depends_on_unexpired_items() -> None:
     clock = ManualClock()
     passed_on: list[list[Item]] = []
     left = SharedSetTable(clock, passed_on.append)
