--- a/goldcreststair/components/steering/__init__.py
+++ b/goldcreststair/components/steering/__init__.py
@@ -1,4 +1,4 @@
-"""Which VMs callers should use."""
+"""Steering: the addresses of the VMs that callers should use."""
 
 from tornado.web import url
 
@@ -7,6 +7,6 @@
 
 
 async def async_setup(core: Core) -> Component:
-    """Add the route."""
+    """Add the HTTP route."""
     core.routes.append(url(r"/v1/addresses", AddressesHandler, {"core": core}))
     return PassiveComponent()
--- a/goldcreststair/components/steering/models.py
+++ b/goldcreststair/components/steering/models.py
@@ -1,4 +1,4 @@
-"""What steering knows of a caller, and what it answers."""
+"""Input and result of steering."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,24 +8,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SteeringFacts:
-    """One caller and the fleet as this VM sees it."""
+class SteeringQuery:
+    """One caller, and this VM's view of the fleet."""
 
     customer: Customer
     caller: str
-    """Anything that tells callers of one customer apart, as their IP number."""
+    """Anything that distinguishes callers of one customer, such as their IP address."""
     data_centre: str
     members: tuple[Member, ...]
     loads: Mapping[str, int] = field(default_factory=dict)
-    home: str | None = None
-    """Session of the customer's limit home."""
+    coordinator: str | None = None
+    """Session id of the customer's limit coordinator."""
     leaving_vms: frozenset[str] = frozenset()
     suspected: frozenset[str] = frozenset()
-    """Sessions that may be lost; used only where nothing else is left."""
+    """Session ids of VMs that may be lost; these are used only if no other VM is left."""
 
 
 @dataclass(frozen=True, slots=True)
-class SteeringAnswer:
+class SteeringResult:
     """Addresses in the order in which a caller should try them."""
 
     addresses: tuple[str, ...]
--- a/goldcreststair/components/steering/views.py
+++ b/goldcreststair/components/steering/views.py
@@ -1,4 +1,4 @@
-"""The HTTP route that tells callers which VMs to use."""
+"""The HTTP route that returns the addresses of the VMs that callers should use."""
 
 from goldcreststair.components.caller_api.handler import CallerHandler
 from goldcreststair.components.configuration.models import CONFIGURATION
@@ -13,27 +13,27 @@
     MemberState,
 )
 from goldcreststair.components.steering.controller import choose_addresses
-from goldcreststair.components.steering.models import SteeringFacts
+from goldcreststair.components.steering.models import SteeringQuery
 from goldcreststair.core import Core
 from goldcreststair.helpers.refusals import Refusal, RefusalCode
 
 
 class AddressesHandler(CallerHandler):
-    """The addresses for one caller."""
+    """Serves the addresses for one caller."""
 
     def get(self) -> None:
-        """Return addresses and their lifetime."""
+        """Respond with the addresses and their lifetime in seconds."""
         settings = self.core.settings
-        facts = SteeringFacts(
+        query = SteeringQuery(
             customer=self.identity.customer,
             caller=self.request.remote_ip or "",
             data_centre=self.get_query_argument("data_centre", settings.data_centre),
             members=read_members(self.core),
             loads=read_loads(self.core).by_session,
-            home=find_home(self.core, self.identity.customer.name),
+            coordinator=find_coordinator(self.core, self.identity.customer.name),
             leaving_vms=self.core.blackboard.read(CONFIGURATION).leaving_vms,
         )
-        answer = choose_addresses(facts)
+        answer = choose_addresses(query)
         if not answer.addresses:
             message = "no VM takes new callers"
             self.refuse(Refusal(message, RefusalCode.NOT_READY, 503, True, 1000))
@@ -42,7 +42,7 @@
 
 
 def read_members(core: Core) -> tuple[Member, ...]:
-    """Return the fleet; only this VM where no membership runs."""
+    """Return the members; only this VM if the membership component is not set up."""
     try:
         members: Members = core.blackboard.read(MEMBERS)
     except KeyError:
@@ -53,15 +53,15 @@
 
 
 def read_loads(core: Core) -> MemberLoads:
-    """Return the loads; none where no membership runs."""
+    """Return the loads; none if the membership component is not set up."""
     try:
         return core.blackboard.read(MEMBER_LOADS)
     except KeyError:
         return MemberLoads()
 
 
-def find_home(core: Core, customer: str) -> str | None:
-    """Return the session of a customer's limit home, if known."""
+def find_coordinator(core: Core, customer: str) -> str | None:
+    """Return the session id of a customer's limit coordinator, or None if it is not known."""
     try:
         ledger = core.get(LEDGER)
     except KeyError:
--- a/standins/measure/steering.py
+++ b/standins/measure/steering.py
@@ -8,7 +8,7 @@
 from goldcreststair.components.configuration.models import Customer
 from goldcreststair.components.membership.models import Member, MemberState
 from goldcreststair.components.steering.controller import choose_addresses
-from goldcreststair.components.steering.models import SteeringFacts
+from goldcreststair.components.steering.models import SteeringQuery
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
         for number in range(max(1, int(customer.rate_per_s * fleet.callers_per_rate))):
             centre = f"dc{number % fleet.centres}"
             caller = f"caller{number}"
-            facts = SteeringFacts(customer, caller, centre, tuple(members), loads, home)
+            facts = SteeringQuery(customer, caller, centre, tuple(members), loads, home)
             placed[(customer.name, number)] = choose_addresses(facts).addresses[0]
     return placed
 
--- a/tests/components/steering/test_views.py
+++ b/tests/components/steering/test_views.py
@@ -1,4 +1,4 @@
-"""The callers' question over HTTP."""
+"""The HTTP route for addresses."""
 
 import orjson
 import pytest
@@ -13,14 +13,14 @@
 
 
 class Connection:
-    """Takes a response without a socket."""
+    """Records a response without a socket."""
 
     def __init__(self) -> None:
         self.status = 0
         self.body = b""
 
     def set_close_callback(self, callback: object) -> None:
-        """Ignore it."""
+        """Ignore the callback."""
 
     def write_headers(
         self, start_line: RequestStartLine, headers: HTTPHeaders, chunk: bytes = b""
@@ -29,11 +29,11 @@
         self.body += chunk
 
     def finish(self) -> None:
-        """End."""
+        """Do nothing at the end of the response."""
 
 
 @pytest.mark.parametrize(("key", "status"), [("key-acme", 200), ("wrong", 401), ("", 401)])
-def test_addresses_are_for_callers_with_a_key(key: str, status: int) -> None:
+def test_addresses_require_a_valid_key(key: str, status: int) -> None:
     async def async_test() -> None:
         core = make_core()
         core.http_port = 8080
