--- a/goldcreststair/components/shutdown/models.py
+++ b/goldcreststair/components/shutdown/models.py
@@ -1,4 +1,4 @@
-"""Where this daemon stands in its shutdown."""
+"""Models of the graceful shutdown."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -18,13 +18,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Shutdown:
-    """Whether this daemon leaves; once it does, it never comes back."""
+    """Whether this daemon is leaving; once it is, it never returns to service."""
 
     reason: LeaveReason | None = None
 
     @property
     def leaving(self) -> bool:
-        """Return whether this daemon leaves."""
+        """Return whether this daemon is leaving."""
         return self.reason is not None
 
 
@@ -32,13 +32,13 @@
 
 
 class GracefulShutdown(Protocol):
-    """Leaves the fleet."""
+    """Interface of the graceful shutdown."""
 
     def begin(self, reason: LeaveReason) -> None:
-        """Begin to leave; does nothing if it has begun."""
+        """Begin to leave the fleet; does nothing if it has already begun."""
 
     async def async_wait(self) -> None:
-        """Return when all work has ended and the daemon may stop."""
+        """Wait until all work has ended and the daemon may stop."""
 
 
 SHUTDOWN_SERVICE: Final = ComponentKey[GracefulShutdown]("shutdown")
--- a/goldcreststair/components/shutdown/readiness.py
+++ b/goldcreststair/components/shutdown/readiness.py
@@ -1,4 +1,4 @@
-"""Whether callers may be sent to this VM."""
+"""Readiness: whether callers may be sent to this VM."""
 
 from goldcreststair.components.configuration.models import CONFIGURATION
 from goldcreststair.components.ledger.models import LEDGER_STATE
@@ -8,12 +8,12 @@
 
 
 def is_ready(core: Core) -> bool:
-    """Return whether nothing keeps callers from being sent here."""
+    """Return whether callers may be sent to this VM."""
     return not list_obstacles(core)
 
 
 def list_obstacles(core: Core) -> list[str]:
-    """Return why callers may not be sent here; empty if they may."""
+    """Return the reasons why callers may not be sent to this VM; empty if they may."""
     board = core.blackboard
     shutdown = board.find(SHUTDOWN)
     membership = core.find(MEMBERSHIP)
@@ -23,9 +23,9 @@
         "cut off from the store and from other VMs": (
             membership is not None and membership.is_isolated()
         ),
-        # It would refuse callers whose limits it is to keep: in a fleet that has just started
-        # these are all of them.
+        # Without its partitions it would refuse callers whose limits it has to coordinate; in a
+        # fleet that has just started these are all callers.
         "partitions not claimed yet": ledger is not None and not ledger.initial_claims_done,
         "no configuration yet": board.read(CONFIGURATION).version == 0,
     }
-    return [name for name, holds in obstacles.items() if holds]
+    return [name for name, applies in obstacles.items() if applies]
--- a/goldcreststair/components/shutdown/service.py
+++ b/goldcreststair/components/shutdown/service.py
@@ -1,4 +1,4 @@
-"""Carries a graceful shutdown out."""
+"""Performs the graceful shutdown."""
 
 import asyncio
 import logging
@@ -13,7 +13,7 @@
     HANDOVER_MS,
     HANDOVER_SHARE,
 )
-from goldcreststair.components.shutdown.controller import ListedLeaving
+from goldcreststair.components.shutdown.controller import ListedStateFilter
 from goldcreststair.components.shutdown.models import SHUTDOWN, LeaveReason, Shutdown
 from goldcreststair.const import MS_PER_SECOND
 from goldcreststair.core import Core, Drainable
@@ -26,16 +26,16 @@
     """Implements `GracefulShutdown`."""
 
     def __init__(self, core: Core) -> None:
-        """Open the section."""
+        """Open the blackboard section and subscribe to the configuration."""
         self._core = core
-        self._judge = ListedLeaving(core.clock.now())
+        self._listed_state = ListedStateFilter(core.clock.now())
         self._writer = core.blackboard.open_section(SHUTDOWN, Shutdown())
         self._unsubscribes = [core.blackboard.subscribe(CONFIGURATION, self._on_configuration)]
-        self._left = asyncio.Event()
+        self._finished = asyncio.Event()
         self._tasks: list[asyncio.Task[Any]] = []
 
     async def async_start(self) -> None:
-        """Follow the platform's list and the configuration."""
+        """Subscribe to the platform's list, and apply it and the configuration."""
         board = self._core.blackboard
         self._unsubscribes.append(board.subscribe(OWN_LISTING, self._on_listing))
         self._on_listing(board.find(OWN_LISTING) or OwnListing())
@@ -44,14 +44,14 @@
             self._on_configuration(configuration)
 
     async def async_close(self) -> None:
-        """Stop following."""
+        """Unsubscribe and cancel a shutdown in progress."""
         for unsubscribe in self._unsubscribes:
             unsubscribe()
         for task in self._tasks:
             task.cancel()
 
     def begin(self, reason: LeaveReason) -> None:
-        """Begin to leave."""
+        """Begin to leave the fleet; does nothing if it has already begun."""
         if self._core.blackboard.read(SHUTDOWN).leaving:
             return
         _LOGGER.info("Leaving: %s", reason)
@@ -63,35 +63,35 @@
         self._tasks.append(asyncio.create_task(self._async_leave()))
 
     async def async_wait(self) -> None:
-        """Return when all work has ended."""
-        await self._left.wait()
+        """Wait until all work has ended."""
+        await self._finished.wait()
 
     async def _async_leave(self) -> None:
         drain_ms = self._core.settings.drain_ms
         deadline = self._core.clock.now() + drain_ms
-        # Callers keep an answer that names this VM for a while and connect only then. A drain too
-        # short for both leaves half of its time to the work under way.
+        # For a while callers still connect to addresses that they got before. If the drain time is
+        # too short for this and for the work in progress, each gets half of it.
         await self._core.clock.async_sleep(min(ADDRESS_LIFETIME_MS, drain_ms // 2))
         handover_ms = min(HANDOVER_MS, int(drain_ms * HANDOVER_SHARE))
         drainables = list(self._core.drainables)
-        # Later components use earlier ones: requests end before the claims and partitions that
-        # they commit to are given away, and that keeps a part of the time for itself.
+        # Later components use earlier ones: requests have to end before the claims and partitions
+        # that they commit to are handed over. A part of the time is reserved for the handover.
         for drainable in reversed(drainables[1:]):
             await self._async_drain(drainable, deadline - handover_ms)
         for drainable in drainables[:1]:
             await self._async_drain(drainable, deadline)
-        self._left.set()
+        self._finished.set()
 
     async def _async_drain(self, drainable: Drainable, deadline: int) -> None:
-        left_ms = max(0, deadline - self._core.clock.now())
-        # One component that fails or hangs must not keep the others from their drain.
+        remaining_ms = max(0, deadline - self._core.clock.now())
+        # A component that fails or hangs must not keep the others from draining.
         try:
-            async with asyncio.timeout(left_ms / MS_PER_SECOND):
+            async with asyncio.timeout(remaining_ms / MS_PER_SECOND):
                 await drainable.async_drain(deadline)
         except TimeoutError:
-            _LOGGER.warning("%s did not end in time", type(drainable).__name__)
+            _LOGGER.warning("%s was not drained in time", type(drainable).__name__)
         except Exception:
-            _LOGGER.exception("%s failed to end", type(drainable).__name__)
+            _LOGGER.exception("Draining %s failed", type(drainable).__name__)
 
     def _on_configuration(self, configuration: Configuration) -> None:
         if self._core.settings.address in configuration.leaving_vms:
@@ -100,5 +100,5 @@
     def _on_listing(self, listing: OwnListing) -> None:
         if not listing.reads:
             return
-        if self._judge.observe(listing.state, self._core.clock.now()):
+        if self._listed_state.observe(listing.state, self._core.clock.now()):
             self.begin(LeaveReason.LISTED)
--- a/tests/components/shutdown/test_service.py
+++ b/tests/components/shutdown/test_service.py
@@ -1,4 +1,4 @@
-"""A leaving VM is named to nobody, ends its work and goes."""
+"""A leaving VM is no longer sent callers, ends its work and stops."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -23,8 +23,8 @@
 
 
 @dataclass
-class Work:
-    """Work that takes some time to end, or fails to."""
+class FakeDrainable:
+    """A component whose drain takes some time, or fails."""
 
     name: str
     ended: list[str]
@@ -59,17 +59,17 @@
     (await follower.async_patch(follower.version, "leave", patch)).unwrap()
 
 
-def test_work_ends_in_reverse_order_after_the_addresses_ran_out() -> None:
-    """Callers still come for a while with old answers, then requests end, then partitions go.
+def test_work_ends_in_reverse_order_after_addresses_expire() -> None:
+    """Callers still connect to old addresses; then requests end, then partitions are handed over.
 
-    Handed over earlier, a partition would be missing to the request that commits to it.
+    If a partition were handed over earlier, requests that commit to it would fail.
     """
 
     async def async_test(fleet: FakeDaemons) -> None:
         daemon, *_ = await async_add_many(fleet, 2)
         ended: list[str] = []
-        works = [Work(name, ended, 2) for name in ("ledger", "batch", "requests")]
-        daemon.core.drainables += works
+        fakes = [FakeDrainable(name, ended, 2) for name in ("ledger", "batch", "requests")]
+        daemon.core.drainables += fakes
         service = daemon.core.get(SHUTDOWN_SERVICE)
         began = fleet.clock.now()
         service.begin(LeaveReason.SIGNAL)
@@ -81,22 +81,22 @@
         assert ended == ["requests", "batch", "ledger"]
         assert fleet.clock.now() - began == pytest.approx(ADDRESS_LIFETIME_MS + 6000, abs=50)
         await asyncio.sleep(ADDRESS_LIFETIME_MS / 1000)
-        assert [len(work.deadlines) for work in works] == [1, 1, 1]
+        assert [len(fake.deadlines) for fake in fakes] == [1, 1, 1]
 
     run_fleet(async_test)
 
 
-def test_leaving_vm_serves_as_long_as_callers_keep_addresses() -> None:
-    """A caller asked for addresses just before a VM began to leave, and keeps the answer.
+def test_leaving_vm_serves_until_addresses_expire() -> None:
+    """A caller got addresses just before a VM began to leave, and uses them for their lifetime.
 
-    It connects again and again while the answer lasts. A VM that stops accepting earlier cuts its
-    requests although the stop was planned: its connection is refused.
+    If the VM stopped accepting connections earlier, the caller's requests would be refused although
+    the stop was planned.
     """
 
     async def async_test(fleet: FakeDaemons) -> None:
         daemon, *_ = await async_add_many(fleet, 2)
         ended: list[str] = []
-        daemon.core.drainables += [Work("ledger", ended), Work("requests", ended)]
+        daemon.core.drainables += [FakeDrainable("ledger", ended), FakeDrainable("requests", ended)]
         daemon.core.get(SHUTDOWN_SERVICE).begin(LeaveReason.SIGNAL)
         await asyncio.sleep(ADDRESS_LIFETIME_S)
         assert ended == []
@@ -104,16 +104,16 @@
     run_fleet(async_test)
 
 
-def test_drain_is_bounded_and_leaves_time_for_the_handover() -> None:
-    """A request never ends and another component fails: the VM must still go, in time."""
+def test_drain_is_bounded_and_reserves_time_for_the_handover() -> None:
+    """One component never ends its drain and another fails: the VM must still stop in time."""
 
     async def async_test(fleet: FakeDaemons) -> None:
         daemon, *_ = await async_add_many(fleet, 2)
         ended: list[str] = []
         daemon.core.drainables += [
-            Work("ledger", ended, 1),
-            Work("broken", ended, fails=True),
-            Work("endless", ended, 10_000),
+            FakeDrainable("ledger", ended, 1),
+            FakeDrainable("broken", ended, fails=True),
+            FakeDrainable("endless", ended, 10_000),
         ]
         began = fleet.clock.now()
         daemon.core.get(SHUTDOWN_SERVICE).begin(LeaveReason.SIGNAL)
@@ -125,8 +125,8 @@
 
 
 @pytest.mark.parametrize("way", ["listed", "configured"])
-def test_a_data_centre_leaves_in_one_night(way: str) -> None:
-    """The landlord's maintenance takes three of nine VMs at once; all others must know at once."""
+def test_all_vms_of_a_data_centre_leave_together(way: str) -> None:
+    """Maintenance of a data centre takes three of nine VMs; the others must know it at once."""
 
     async def async_test(fleet: FakeDaemons) -> None:
         daemons = await async_add_many(fleet, 9)
@@ -148,12 +148,12 @@
         await fleet.async_wait(lambda: all(is_leaving(d) for d in leaving), 11_000)
         await asyncio.sleep(1)
         for daemon in daemons:
-            named = {
+            serving = {
                 m.address
                 for m in daemon.members.by_session.values()
                 if m.state is MemberState.SERVING
             }
-            assert not named & set(addresses)
+            assert not serving & set(addresses)
         assert not any(is_leaving(d) for d in daemons if d not in leaving)
         for daemon in leaving:
             await daemon.core.get(SHUTDOWN_SERVICE).async_wait()
@@ -166,8 +166,8 @@
     run_fleet(async_test)
 
 
-def test_lagging_list_does_not_turn_a_new_vm_away() -> None:
-    """A VM left and its address went to a new one; the list still shows the old one's state."""
+def test_lagging_list_does_not_make_a_new_vm_leave() -> None:
+    """A new VM has the address of one that left, and the list still shows that VM's state."""
 
     async def async_test(fleet: FakeDaemons) -> None:
         daemon, *_ = await async_add_many(fleet, 1)
@@ -188,9 +188,10 @@
 
 
 def test_vm_is_ready_only_once_its_partitions_are_claimed() -> None:
-    """A fleet starts; callers come as soon as it says that it is ready.
+    """A fleet starts, and callers connect as soon as it is ready.
 
-    Its first requests were refused as rate limited: no VM was yet home of any customer's limits.
+    If it were ready earlier, the first requests would be refused as rate limited, as no VM would
+    coordinate the customers' limits yet.
     """
 
     async def async_test(fleet: FakeDaemons) -> None:
@@ -206,7 +207,7 @@
     run_fleet(async_test)
 
 
-def test_journal_names_a_leaving_vm_by_its_address() -> None:
+def test_journal_records_a_leaving_vm_by_its_address() -> None:
     async def async_test(fleet: FakeDaemons) -> None:
         daemons = await async_add_many(fleet, 2)
         await async_patch(daemons[1], [daemons[0].address])
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts no request, through separate processes."""
+"""A planned stop interrupts no request, tested with separate processes."""
 
 import signal
 import time
@@ -16,10 +16,10 @@
 
 
 def test_sigterm_lets_a_running_stream_end() -> None:
-    """A VM is told to stop, twice, while a caller reads a long stream from it.
+    """A daemon gets SIGTERM twice while a caller reads a long stream from it.
 
-    The stream must end whole; a caller with an old address answer is still served and asked to
-    close its connection; nobody new is sent here; the process then ends by itself with status 0.
+    The stream must be complete. A caller with an address that it got before is still served, and
+    told to close its connection. The daemon is no longer ready, and then exits with status 0.
     """
     plan = FleetPlan(daemons=1, engines=1, step_base_ms=15.0, daemon_flags={"drain-ms": "8000"})
     with Fleet(plan) as fleet, ThreadPoolExecutor(1) as pool:
