--- a/goldcreststair/components/limits/fleet.py
+++ b/goldcreststair/components/limits/fleet.py
@@ -189,7 +189,7 @@
                 if owner == self._find_owner(name):
                     requester.refuse_waiters(UNREACHABLE_RETRY_MS)
             elif grant.owner:
-                self._ledger.learn_owner(find_customer_index(self._ledger, name), grant.owner)
+                self._ledger.record_owner(find_customer_index(self._ledger, name), grant.owner)
             return
         requester.tokens.accept(number, grant.granted, now)
         requester.serve_waiters(now)
