--- a/goldcreststair/components/batch/keeper.py
+++ b/goldcreststair/components/batch/chunk_owner.py
@@ -19,10 +19,10 @@
     TRIES_FLUSH_MS,
 )
 from goldcreststair.components.batch.directory import Directory
-from goldcreststair.components.batch.job_watch import JobWatch
+from goldcreststair.components.batch.fair_scheduler import ChunkFacts, FairOrder
+from goldcreststair.components.batch.job_monitor import JobWatch
 from goldcreststair.components.batch.models import ItemState
 from goldcreststair.components.batch.objects import async_get_object, async_put_object
-from goldcreststair.components.batch.order import ChunkFacts, FairOrder
 from goldcreststair.components.batch.quarantine import Quarantine
 from goldcreststair.components.batch.records import (
     PREFIX_CHUNK,
--- a/goldcreststair/components/batch/stewards.py
+++ b/goldcreststair/components/batch/dispatchers.py
@@ -16,9 +16,9 @@
     TICK_MS,
 )
 from goldcreststair.components.batch.directory import Directory
+from goldcreststair.components.batch.dispatcher import Steward
 from goldcreststair.components.batch.online_load import OnlineTeller
 from goldcreststair.components.batch.outbox import Outbox
-from goldcreststair.components.batch.steward import Steward
 from goldcreststair.components.configuration.models import CONFIGURATION
 from goldcreststair.core import Core
 from goldcreststair.online_pressure import OnlinePressure, UpstreamPressure
--- a/goldcreststair/components/batch/service.py
+++ b/goldcreststair/components/batch/service.py
@@ -9,6 +9,7 @@
 from result import Err
 
 from goldcreststair.components.batch.calendar import Calendar, SystemCalendar
+from goldcreststair.components.batch.chunk_owner import ChunkKeeper
 from goldcreststair.components.batch.const import (
     ADVERT_FAN_OUT,
     ADVERT_MS,
@@ -16,8 +17,8 @@
     TICK_MS,
 )
 from goldcreststair.components.batch.directory import Directory
+from goldcreststair.components.batch.dispatchers import MakeAllowance, Stewards, make_upstream_key
 from goldcreststair.components.batch.jobs import Jobs
-from goldcreststair.components.batch.keeper import ChunkKeeper
 from goldcreststair.components.batch.records import (
     PREFIX_CHUNK,
     decode_chunk,
@@ -26,7 +27,6 @@
     make_chunk_key,
     make_job_key,
 )
-from goldcreststair.components.batch.stewards import MakeAllowance, Stewards, make_upstream_key
 from goldcreststair.components.batch.submission import Submission, SubmitOptions
 from goldcreststair.components.batch.sweeper import Sweeper
 from goldcreststair.components.configuration.models import CONFIGURATION
--- a/goldcreststair/components/orders/steward.py
+++ b/goldcreststair/components/orders/reconciler.py
@@ -16,13 +16,13 @@
     record_failure,
     record_success,
 )
-from goldcreststair.components.orders.models import Action, Step
-from goldcreststair.components.orders.unloading import UnloadWaits
-from goldcreststair.components.orders.wanted import (
+from goldcreststair.components.orders.desired import (
     make_fencing,
     make_wanted_state,
     read_reported_state,
 )
+from goldcreststair.components.orders.models import Action, Step
+from goldcreststair.components.orders.unloading import UnloadWaits
 from goldcreststair.core import Core
 from goldcreststair.journal import Subject
 from goldcreststair.store.errors import ObjectMissing
--- a/goldcreststair/components/orders/service.py
+++ b/goldcreststair/components/orders/service.py
@@ -3,7 +3,7 @@
 import asyncio
 import logging
 
-from goldcreststair.components.batch.stewards import make_upstream_key
+from goldcreststair.components.batch.dispatchers import make_upstream_key
 from goldcreststair.components.configuration.models import CONFIGURATION
 from goldcreststair.components.ledger.protocols import LEDGER
 from goldcreststair.components.orders.const import (
@@ -11,7 +11,7 @@
     DEFAULT_FLEET_WEIGHT_BYTES_PER_S,
 )
 from goldcreststair.components.orders.controller import WeightBudget
-from goldcreststair.components.orders.steward import EngineSteward
+from goldcreststair.components.orders.reconciler import EngineSteward
 from goldcreststair.core import Core
 from goldcreststair.upstreams.models import Upstream, UpstreamKind
 
--- a/standins/measure/batch_watch.py
+++ b/standins/measure/batch_watch.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from goldcreststair.clock import Millis
-from goldcreststair.components.batch.steward import Steward
+from goldcreststair.components.batch.dispatcher import Steward
 from standins.engine.models import Generation
 from standins.measure.batch_online import BURST_EVERY_S, BURST_S, is_burst
 from tests.helpers.batch_fleet import BatchFleet
--- a/tests/components/batch/test_controllers.py
+++ b/tests/components/batch/test_controllers.py
@@ -8,10 +8,10 @@
 from goldcreststair.components.batch.allowance import AllowanceController, AllowanceParameters
 from goldcreststair.components.batch.burst import BurstHold, BurstParameters
 from goldcreststair.components.batch.chunks import Chunk
+from goldcreststair.components.batch.fair_scheduler import ChunkFacts, FairOrder
 from goldcreststair.components.batch.models import ChunkRecord, Item, ItemState
 from goldcreststair.components.batch.online_load import OnlineLoad, OnlineTeller
 from goldcreststair.components.batch.onset import OnsetDetector
-from goldcreststair.components.batch.order import ChunkFacts, FairOrder
 from goldcreststair.online_pressure import UpstreamPressure
 from goldcreststair.upstreams.models import LoadReport
 from goldcreststair.wire.generated.batch.ttypes import ItemResult, Verdict
--- a/tests/helpers/batch_fleet.py
+++ b/tests/helpers/batch_fleet.py
@@ -9,12 +9,12 @@
 
 from goldcreststair.clock import Clock
 from goldcreststair.components import configuration, keys
+from goldcreststair.components.batch.dispatchers import MakeAllowance, make_upstream_key
 from goldcreststair.components.batch.errors import BatchError
 from goldcreststair.components.batch.models import Manifest
 from goldcreststair.components.batch.parsing import Defaults
 from goldcreststair.components.batch.records import decode_chunk
 from goldcreststair.components.batch.service import BATCH, BatchService
-from goldcreststair.components.batch.stewards import MakeAllowance, make_upstream_key
 from goldcreststair.components.batch.submission import SubmitOptions
 from goldcreststair.components.batch.views import describe_result
 from goldcreststair.components.configuration.controller import CONFIGURATION_FOLLOWER
