--- a/goldcreststair/components/batch/allowance.py
+++ b/goldcreststair/components/batch/allowance.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from goldcreststair.clock import Clock, Millis
-from goldcreststair.components.batch.burst import BurstHold, BurstParameters
+from goldcreststair.components.batch.burst import BurstLimiter, BurstParameters
 from goldcreststair.components.batch.history import CountHistory
 from goldcreststair.upstreams.models import LoadReport
 
@@ -73,7 +73,7 @@
         self._past = CountHistory(parameters.report_lag_ms)
         """Own running streams."""
         self._told = 0
-        self._burst = BurstHold(clock, BurstParameters())
+        self._burst = BurstLimiter(clock, BurstParameters())
         self._lately = CountHistory(GROWTH_MS)
         self._past_told = CountHistory(parameters.report_lag_ms)
         """Online requests as told."""
--- a/goldcreststair/components/batch/burst.py
+++ b/goldcreststair/components/batch/burst.py
@@ -25,7 +25,7 @@
 NO_BOUND: Final = 1e9
 
 
-class BurstHold:
+class BurstLimiter:
     """Decides only; `bound` is what batch may run while the hold lasts."""
 
     def __init__(self, clock: Clock, parameters: BurstParameters) -> None:
--- a/goldcreststair/components/batch/chunk_owner.py
+++ b/goldcreststair/components/batch/chunk_owner.py
@@ -19,8 +19,8 @@
     TRIES_FLUSH_MS,
 )
 from goldcreststair.components.batch.directory import Directory
-from goldcreststair.components.batch.fair_scheduler import ChunkFacts, FairOrder
-from goldcreststair.components.batch.job_monitor import JobWatch
+from goldcreststair.components.batch.fair_scheduler import ChunkFacts, FairScheduler
+from goldcreststair.components.batch.job_monitor import JobMonitor
 from goldcreststair.components.batch.models import ItemState
 from goldcreststair.components.batch.objects import async_get_object, async_put_object
 from goldcreststair.components.batch.quarantine import Quarantine
@@ -45,7 +45,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-class ChunkKeeper:
+class ChunkOwner:
     """All chunks of the partitions that this VM owns."""
 
     def __init__(self, core: Core, directory: Directory, calendar: Calendar) -> None:
@@ -54,17 +54,17 @@
         self._directory = directory
         self._calendar = calendar
         self._quarantine = Quarantine(core)
-        self._order = FairOrder()
+        self._order = FairScheduler()
         self.chunks: dict[str, Chunk] = {}
         self.commits = 0
         self._lots = 0
-        self._jobs = JobWatch(core, directory, calendar, self.chunks, self._end)
+        self._job_monitor = JobMonitor(core, directory, calendar, self.chunks, self._end)
         self._loading: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def async_close(self) -> None:
         """Stop what is under way; uncommitted results run again elsewhere."""
-        await self._jobs.async_close()
+        await self._job_monitor.async_close()
         for task in tuple(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -84,7 +84,7 @@
         """Take a committed chunk into care; it runs once its manifest is seen."""
         if key not in self.chunks:
             self.chunks[key] = Chunk(key, partition, decode_chunk(value))
-            self._jobs.forget(self.chunks[key].record.job)
+            self._job_monitor.forget(self.chunks[key].record.job)
 
     def touch(self, key: str) -> None:
         """Note that a submit relies on a chunk."""
@@ -93,7 +93,7 @@
 
     def check_job(self, job: str) -> None:
         """Read a job's manifest again soon."""
-        self._jobs.check(job)
+        self._job_monitor.check(job)
 
     def tick(self) -> None:
         """Do what time brings: lapsed lots, commits, loads, checks of jobs, sweeping."""
@@ -103,7 +103,7 @@
                 _LOGGER.info("A lot of chunk %s lapsed", chunk.key)
             if self._is_due_for_commit(chunk, now):
                 self._spawn_commit(chunk)
-        self._jobs.tick()
+        self._job_monitor.tick()
         self._load_items()
 
     def count_backlog(self) -> dict[str, int]:
--- a/goldcreststair/components/batch/chunks.py
+++ b/goldcreststair/components/batch/chunks.py
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class Lease:
-    """An item given to a steward."""
+    """An item given to a dispatcher."""
 
     holder: str
     expires_at: Millis
@@ -107,7 +107,7 @@
     def accept(self, holder: str, result: ItemResult, now: Millis) -> None:
         """Take one result; whoever ran it, the first answer of an open item stands."""
         index = result.index
-        # A lot answered twice, or by a steward whose lease lapsed: the item is not open any more
+        # A lot answered twice, or by a dispatcher whose lease lapsed: the item is not open any more
         # once the first answer is in, so a second one cannot change its state.
         if self.cancelled or not self.is_open(index):
             return
--- a/goldcreststair/components/batch/const.py
+++ b/goldcreststair/components/batch/const.py
@@ -51,7 +51,7 @@
 LOAD_REPORT_MS: Final = 500
 ITEM_TIMEOUT_MS: Final = 300_000
 RESULT_KEEP_MS: Final = 120_000
-"""How long a steward offers a result that no owner takes."""
+"""How long a dispatcher offers a result that no owner takes."""
 LOT_ITEMS: Final = 16
 RESULT_PAGE: Final = 200
 HEADER_DUE_IN_S: Final = "X-Due-In-S"
--- a/goldcreststair/components/batch/dispatcher.py
+++ b/goldcreststair/components/batch/dispatcher.py
@@ -37,13 +37,13 @@
 
 
 class LotSource(Protocol):
-    """Where a steward asks for items."""
+    """Where a dispatcher asks for items."""
 
     async def async_request(self, request: LotRequest) -> list[LotItem]:
         """Return items of a model, none if nobody has any."""
 
 
-class Steward:
+class UpstreamDispatcher:
     """All batch streams of one upstream."""
 
     def __init__(
@@ -144,7 +144,7 @@
         self.paused = [stream for stream in self.paused if stream.item.chunk != chunk]
 
     def list_held(self) -> dict[str, list[int]]:
-        """Return the items this steward works on, by chunk."""
+        """Return the items this dispatcher works on, by chunk."""
         held: defaultdict[str, list[int]] = defaultdict(list)
         for stream in (*self.running, *self.paused):
             held[stream.item.chunk].append(stream.item.index)
--- a/goldcreststair/components/batch/dispatchers.py
+++ b/goldcreststair/components/batch/dispatchers.py
@@ -1,4 +1,4 @@
-"""The upstreams this VM is steward of, their hints, lots and leases."""
+"""The upstreams this VM is dispatcher of, their hints, lots and leases."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -16,8 +16,8 @@
     TICK_MS,
 )
 from goldcreststair.components.batch.directory import Directory
-from goldcreststair.components.batch.dispatcher import Steward
-from goldcreststair.components.batch.online_load import OnlineTeller
+from goldcreststair.components.batch.dispatcher import UpstreamDispatcher
+from goldcreststair.components.batch.online_load import OnlineLoadReporter
 from goldcreststair.components.batch.outbox import Outbox
 from goldcreststair.components.configuration.models import CONFIGURATION
 from goldcreststair.core import Core
@@ -36,12 +36,12 @@
 
 
 def make_upstream_key(name: str) -> str:
-    """Return the key whose partition's owner is the steward of an upstream."""
+    """Return the key whose partition's owner is the dispatcher of an upstream."""
     return f"upstream/{name}"
 
 
-class Stewards:
-    """All stewards of one VM; also the source of their lots."""
+class Dispatchers:
+    """All dispatchers of one VM; also the source of their lots."""
 
     def __init__(
         self, core: Core, directory: Directory, make_allowance: MakeAllowance | None = None
@@ -53,19 +53,19 @@
             lambda: AllowanceController(core.clock, AllowanceParameters())
         )
         self._outbox = Outbox(core.clock, directory)
-        self.by_name: dict[str, Steward] = {}
+        self.by_name: dict[str, UpstreamDispatcher] = {}
         self._adverts: dict[tuple[str, str], tuple[int, Millis]] = {}
         """(model, owner) to the items it has and when it said so."""
         self._next_load: dict[str, int] = {}
-        self._tellers: dict[str, OnlineTeller] = {}
+        self._tellers: dict[str, OnlineLoadReporter] = {}
         self._renewed_at = Millis(0)
         self._draining = False
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def async_close(self) -> None:
         """Stop all streams, offer what is finished once more, and end."""
-        for steward in self.by_name.values():
-            await steward.async_close()
+        for dispatcher in self.by_name.values():
+            await dispatcher.async_close()
         self.by_name.clear()
         await asyncio.gather(*(self._outbox.async_send(k) for k in self._outbox.list_unsent()))
         for task in tuple(self._tasks):
@@ -85,7 +85,7 @@
             await self._core.clock.async_sleep(TICK_MS)
 
     def tick(self) -> None:
-        """Follow the configuration and the partitions, then let each steward work."""
+        """Follow the configuration and the partitions, then let each dispatcher work."""
         configuration = self._core.blackboard.read(CONFIGURATION)
         wanted = {
             name: upstream
@@ -95,9 +95,9 @@
         }
         if not self._draining:
             self._follow(wanted)
-        for name, steward in self.by_name.items():
-            steward.tick(pull=name not in configuration.leaving_upstreams)
-            self._read_load(steward)
+        for name, dispatcher in self.by_name.items():
+            dispatcher.tick(pull=name not in configuration.leaving_upstreams)
+            self._read_load(dispatcher)
         for chunk in self._outbox.list_unsent():
             self._spawn(self._outbox.async_send(chunk))
         now = self._core.clock.now()
@@ -115,19 +115,19 @@
 
     def take_hint(self, sender: str, hint: YieldHint) -> None:
         """Make room at an upstream, or yield."""
-        steward = self.by_name.get(hint.upstream)
-        if steward is None:
+        dispatcher = self.by_name.get(hint.upstream)
+        if dispatcher is None:
             return
         if hint.in_flight is not None:
-            steward.take_online(sender, hint.in_flight)
+            dispatcher.take_online(sender, hint.in_flight)
         if hint.queue_ms > 0 or hint.in_flight is None:
-            steward.take_queue()
+            dispatcher.take_queue()
 
     def take_pressure(self, pressure: OnlinePressure) -> None:
-        """Tell the stewards of upstreams what this VM's online work has and meets there."""
+        """Tell the dispatchers of upstreams what this VM's online work has and meets there."""
         for name in self._tellers.keys() | pressure.by_upstream.keys():
             met = pressure.by_upstream.get(name, UpstreamPressure(0, 0))
-            teller = self._tellers.setdefault(name, OnlineTeller(self._core.clock))
+            teller = self._tellers.setdefault(name, OnlineLoadReporter(self._core.clock))
             tells = teller.observe(met)
             hint = YieldHint(name, met.queue_ms, met.in_flight)
             if name in self.by_name:
@@ -139,8 +139,8 @@
 
     def stop_chunk(self, chunk: str) -> None:
         """Stop the items of a chunk whose job was cancelled."""
-        for steward in self.by_name.values():
-            steward.stop_chunk(chunk)
+        for dispatcher in self.by_name.values():
+            dispatcher.stop_chunk(chunk)
 
     async def async_request(self, request: LotRequest) -> list[LotItem]:
         """Ask one owner with backlog, chosen at random, for items."""
@@ -167,26 +167,28 @@
         for name, upstream in wanted.items():
             if name not in self.by_name:
                 allowance = self._make_allowance()
-                self.by_name[name] = Steward(self._core, upstream, allowance, self, self._outbox)
+                self.by_name[name] = UpstreamDispatcher(
+                    self._core, upstream, allowance, self, self._outbox
+                )
             self.by_name[name].upstream = upstream
 
-    def _read_load(self, steward: Steward) -> None:
+    def _read_load(self, dispatcher: UpstreamDispatcher) -> None:
         now = self._core.clock.now()
-        if self._next_load.get(steward.upstream.name, 0) <= now:
-            self._next_load[steward.upstream.name] = now + LOAD_REPORT_MS
-            self._spawn(self._async_read_load(steward))
+        if self._next_load.get(dispatcher.upstream.name, 0) <= now:
+            self._next_load[dispatcher.upstream.name] = now + LOAD_REPORT_MS
+            self._spawn(self._async_read_load(dispatcher))
 
-    async def _async_read_load(self, steward: Steward) -> None:
-        report = await self._core.upstreams.engines.async_read_load(steward.upstream)
+    async def _async_read_load(self, dispatcher: UpstreamDispatcher) -> None:
+        report = await self._core.upstreams.engines.async_read_load(dispatcher.upstream)
         if not isinstance(report, Err):
-            steward.allowance.observe_load(report.ok_value, len(steward.running))
+            dispatcher.allowance.observe_load(report.ok_value, len(dispatcher.running))
 
     def _renew(self) -> None:
         held: dict[str, list[int]] = {
             chunk: self._outbox.list_held(chunk) for chunk in self._outbox.list_chunks()
         }
-        for steward in self.by_name.values():
-            for chunk, indexes in steward.list_held().items():
+        for dispatcher in self.by_name.values():
+            for chunk, indexes in dispatcher.list_held().items():
                 held[chunk] = held.get(chunk, []) + indexes
         self._outbox.forget(held)
         for chunk, indexes in held.items():
--- a/goldcreststair/components/batch/fair_scheduler.py
+++ b/goldcreststair/components/batch/fair_scheduler.py
@@ -18,7 +18,7 @@
     undone: int
 
 
-class FairOrder:
+class FairScheduler:
     """Weighted fair shares between customers, as items given out over weight."""
 
     def __init__(self) -> None:
--- a/goldcreststair/components/batch/job_monitor.py
+++ b/goldcreststair/components/batch/job_monitor.py
@@ -28,7 +28,7 @@
         """End it as cancelled or as failed."""
 
 
-class JobWatch:
+class JobMonitor:
     """Reads each job's manifest now and then."""
 
     def __init__(
--- a/goldcreststair/components/batch/online_load.py
+++ b/goldcreststair/components/batch/online_load.py
@@ -11,8 +11,8 @@
 TOLD_LIFETIME_MS: Final = 10_000
 
 
-class OnlineTeller:
-    """Decides when a VM tells the steward of an upstream of its requests there."""
+class OnlineLoadReporter:
+    """Decides when a VM tells the dispatcher of an upstream of its requests there."""
 
     def __init__(self, clock: Clock) -> None:
         """Start with nothing told."""
@@ -32,7 +32,7 @@
 
 
 class OnlineLoad:
-    """The sum of what was told, at the steward."""
+    """The sum of what was told, at the dispatcher."""
 
     def __init__(self, clock: Clock) -> None:
         """Start with no VM known."""
--- a/goldcreststair/components/batch/service.py
+++ b/goldcreststair/components/batch/service.py
@@ -1,4 +1,4 @@
-"""Batch jobs of one VM: serves the owners' messages and drives keeper and stewards."""
+"""Batch jobs of one VM: serves the owners' messages and drives keeper and dispatchers."""
 
 import asyncio
 import logging
@@ -9,7 +9,7 @@
 from result import Err
 
 from goldcreststair.components.batch.calendar import Calendar, SystemCalendar
-from goldcreststair.components.batch.chunk_owner import ChunkKeeper
+from goldcreststair.components.batch.chunk_owner import ChunkOwner
 from goldcreststair.components.batch.const import (
     ADVERT_FAN_OUT,
     ADVERT_MS,
@@ -17,7 +17,11 @@
     TICK_MS,
 )
 from goldcreststair.components.batch.directory import Directory
-from goldcreststair.components.batch.dispatchers import MakeAllowance, Stewards, make_upstream_key
+from goldcreststair.components.batch.dispatchers import (
+    Dispatchers,
+    MakeAllowance,
+    make_upstream_key,
+)
 from goldcreststair.components.batch.jobs import Jobs
 from goldcreststair.components.batch.records import (
     PREFIX_CHUNK,
@@ -77,17 +81,19 @@
         self._calendar = calendar or SystemCalendar()
         self._ledger = core.get(LEDGER)
         self.directory = Directory(core)
-        self.keeper = ChunkKeeper(core, self.directory, self._calendar)
-        self.stewards = Stewards(core, self.directory, make_allowance)
+        self.chunk_owner = ChunkOwner(core, self.directory, self._calendar)
+        self.dispatchers = Dispatchers(core, self.directory, make_allowance)
         self._sweeper = Sweeper(core, self._calendar)
         self.jobs = Jobs(core, self.directory)
         self._ticking: asyncio.Task[None] | None = None
         self._sweeping: asyncio.Task[None] | None = None
         self._advertised_at = 0
         self._register()
-        self._ledger.watch(self.keeper.on_gained, self.keeper.on_lost)
+        self._ledger.watch(self.chunk_owner.on_gained, self.chunk_owner.on_lost)
         self._ledger.watch(self._sweeper.on_gained, self._sweeper.on_lost)
-        self._unsubscribe = core.blackboard.subscribe(ONLINE_PRESSURE, self.stewards.take_pressure)
+        self._unsubscribe = core.blackboard.subscribe(
+            ONLINE_PRESSURE, self.dispatchers.take_pressure
+        )
 
     async def async_start(self) -> None:
         """Begin to tick, and take part in graceful shutdowns."""
@@ -96,7 +102,7 @@
 
     async def async_drain(self, deadline_ms: int) -> None:
         """Take no items any more; return when those that run have ended or were given back."""
-        await self.stewards.async_drain(deadline_ms)
+        await self.dispatchers.async_drain(deadline_ms)
 
     async def async_close(self) -> None:
         """Give running items back and stop."""
@@ -108,8 +114,8 @@
         if self._sweeping is not None:
             self._sweeping.cancel()
             await asyncio.gather(self._sweeping, return_exceptions=True)
-        await self.stewards.async_close()
-        await self.keeper.async_close()
+        await self.dispatchers.async_close()
+        await self.chunk_owner.async_close()
 
     def begin_submission(self, options: SubmitOptions) -> Submission:
         """Return a submission to feed the job's body into."""
@@ -138,8 +144,8 @@
         while True:
             await self._core.clock.async_sleep(TICK_MS)
             try:
-                self.keeper.tick()
-                self.stewards.tick()
+                self.chunk_owner.tick()
+                self.dispatchers.tick()
                 self._advertise()
                 self._sweep()
             except Exception:
@@ -155,15 +161,15 @@
         if now - self._advertised_at < ADVERT_MS:
             return
         self._advertised_at = now
-        for model, items in self.keeper.count_backlog().items():
+        for model, items in self.chunk_owner.count_backlog().items():
             advert = BacklogAdvert(model, items)
-            for session in self._choose_stewards(model):
+            for session in self._choose_dispatchers(model):
                 if session == self._core.session_id:
-                    self.stewards.take_advert(session, advert)
+                    self.dispatchers.take_advert(session, advert)
                 else:
                     self.directory.post(session, advert)
 
-    def _choose_stewards(self, model: str) -> list[str]:
+    def _choose_dispatchers(self, model: str) -> list[str]:
         upstreams = self._core.blackboard.read(CONFIGURATION).upstreams.values()
         names = [upstream.name for upstream in upstreams if model in upstream.served_names]
         owners = {self.directory.find_owner(make_upstream_key(name)) for name in names}
@@ -182,7 +188,7 @@
         if isinstance(partition, Reply):
             return partition
         existing = partition.get(message.key)
-        self.keeper.touch(message.key)
+        self.chunk_owner.touch(message.key)
         value = message.value if existing is None else existing
         # Committed again even if it is there: it may only be staged, and answering OK before it
         # is durable would accept a job that the loss of this VM takes away.
@@ -190,8 +196,8 @@
         if isinstance(outcome, Err):
             return _turn_error(outcome.err_value)
         if message.key.startswith(PREFIX_CHUNK):
-            self.keeper.add(partition, message.key, value)
-            self.keeper.touch(message.key)
+            self.chunk_owner.add(partition, message.key, value)
+            self.chunk_owner.touch(message.key)
         return Reply(status=ReplyStatus.OK, value=value)
 
     async def _async_get(self, _: str, message: RecordGet) -> Reply:
@@ -238,36 +244,36 @@
         return Reply(status=ReplyStatus.OK, value=cancelled)
 
     async def _async_on_changed(self, _: str, message: JobChanged) -> None:
-        self.keeper.check_job(message.job)
+        self.chunk_owner.check_job(message.job)
 
     async def _async_on_advert(self, sender: str, message: BacklogAdvert) -> None:
-        self.stewards.take_advert(sender, message)
+        self.dispatchers.take_advert(sender, message)
 
     async def _async_on_lot_request(self, sender: str, message: LotRequest) -> Lot:
-        return self.keeper.give(sender, message)
+        return self.chunk_owner.give(sender, message)
 
     async def _async_on_renewal(self, sender: str, message: LotRenewal) -> Reply:
         partition = self._find_partition(message.chunk)
         if isinstance(partition, Reply):
             return partition
-        known = self.keeper.renew(sender, message.chunk, message.indexes)
+        known = self.chunk_owner.renew(sender, message.chunk, message.indexes)
         return Reply(status=ReplyStatus.OK if known else ReplyStatus.MISSING)
 
     async def _async_on_result(self, sender: str, message: LotResult) -> Reply:
         partition = self._find_partition(message.chunk)
         if isinstance(partition, Reply):
             return partition
-        if message.chunk not in self.keeper.chunks:
+        if message.chunk not in self.chunk_owner.chunks:
             return Reply(status=ReplyStatus.MISSING)
-        taken = self.keeper.accept(sender, message.chunk, message.results)
+        taken = self.chunk_owner.accept(sender, message.chunk, message.results)
         return Reply(status=ReplyStatus.OK if taken else ReplyStatus.REFUSED)
 
     async def _async_on_stop(self, _: str, message: LotStop) -> Reply:
-        self.stewards.stop_chunk(message.chunk)
+        self.dispatchers.stop_chunk(message.chunk)
         return Reply(status=ReplyStatus.OK)
 
     async def _async_on_hint(self, sender: str, message: YieldHint) -> None:
-        self.stewards.take_hint(sender, message)
+        self.dispatchers.take_hint(sender, message)
 
 
 def _turn_error(error: LedgerError) -> Reply:
--- a/goldcreststair/components/orders/desired.py
+++ b/goldcreststair/components/orders/desired.py
@@ -19,7 +19,7 @@
     return (partitions << EPOCH_BITS) + epoch
 
 
-def make_wanted_state(configuration: Configuration, upstream: Upstream) -> EngineState:
+def make_desired_state(configuration: Configuration, upstream: Upstream) -> EngineState:
     """Return what an engine shall serve."""
     versions = configuration.models
     return EngineState(
--- a/goldcreststair/components/orders/reconciler.py
+++ b/goldcreststair/components/orders/reconciler.py
@@ -17,12 +17,12 @@
     record_success,
 )
 from goldcreststair.components.orders.desired import (
+    make_desired_state,
     make_fencing,
-    make_wanted_state,
     read_reported_state,
 )
 from goldcreststair.components.orders.models import Action, Step
-from goldcreststair.components.orders.unloading import UnloadWaits
+from goldcreststair.components.orders.unloading import UnloadDelays
 from goldcreststair.core import Core
 from goldcreststair.journal import Subject
 from goldcreststair.store.errors import ObjectMissing
@@ -34,7 +34,7 @@
 UNLOADS = (Action.UNLOAD_MODEL, Action.UNLOAD_ADAPTER)
 
 
-class EngineSteward:
+class EngineReconciler:
     """The orders of one owner, in one epoch, to one engine."""
 
     def __init__(
@@ -46,7 +46,7 @@
         self._core = core
         self._budget = budget
         self._progress = begin_progress(core.clock.now(), checks_fencing=upstream.checks_fencing)
-        self._unloads = UnloadWaits()
+        self._unloads = UnloadDelays()
         self._fenced_at: Millis | None = None
         self._held_until: dict[str, Millis] = {}
         self._orders = 0
@@ -79,7 +79,7 @@
 
     def _choose(self, report: LoadReport) -> Step | None:
         configuration = self._core.blackboard.read(CONFIGURATION)
-        wanted = make_wanted_state(configuration, self.upstream)
+        wanted = make_desired_state(configuration, self.upstream)
         reported = read_reported_state(report)
         now = self._core.clock.now()
         unwanted = (reported.models - wanted.models) | (reported.adapters - wanted.adapters)
--- a/goldcreststair/components/orders/service.py
+++ b/goldcreststair/components/orders/service.py
@@ -11,7 +11,7 @@
     DEFAULT_FLEET_WEIGHT_BYTES_PER_S,
 )
 from goldcreststair.components.orders.controller import WeightBudget
-from goldcreststair.components.orders.reconciler import EngineSteward
+from goldcreststair.components.orders.reconciler import EngineReconciler
 from goldcreststair.core import Core
 from goldcreststair.upstreams.models import Upstream, UpstreamKind
 
@@ -28,7 +28,7 @@
         self._core = core
         self._ledger = core.get(LEDGER)
         self._budget = WeightBudget(fleet_weight_bytes_per_s)
-        self._stewards: dict[str, EngineSteward] = {}
+        self._stewards: dict[str, EngineReconciler] = {}
         self._checks: dict[str, asyncio.Task[None]] = {}
         self._ticking: asyncio.Task[None] | None = None
 
@@ -60,7 +60,7 @@
         """Keep one steward for each engine of ours, a new one for each epoch."""
         configuration = self._core.blackboard.read(CONFIGURATION)
         leaving = configuration.leaving_upstreams
-        ours: dict[str, EngineSteward] = {}
+        ours: dict[str, EngineReconciler] = {}
         for name, upstream in configuration.upstreams.items():
             if upstream.kind is UpstreamKind.ENGINE and name not in leaving:
                 steward = self._find_steward(upstream)
@@ -70,7 +70,7 @@
             self._stop(name)
         self._stewards = ours
 
-    def _find_steward(self, upstream: Upstream) -> EngineSteward | None:
+    def _find_steward(self, upstream: Upstream) -> EngineReconciler | None:
         partition = self._ledger.get_owned(
             self._ledger.find_index(make_upstream_key(upstream.name))
         )
@@ -83,7 +83,7 @@
                 steward.upstream = upstream
                 return steward
         self._stop(upstream.name)
-        return EngineSteward(self._core, self._budget, upstream, partition)
+        return EngineReconciler(self._core, self._budget, upstream, partition)
 
     def _stop(self, name: str) -> None:
         check = self._checks.pop(name, None)
@@ -96,7 +96,7 @@
             if name not in self._checks or self._checks[name].done():
                 self._checks[name] = asyncio.create_task(self._async_check(steward))
 
-    async def _async_check(self, steward: EngineSteward) -> None:
+    async def _async_check(self, steward: EngineReconciler) -> None:
         try:
             await steward.async_check()
         except Exception:
--- a/goldcreststair/components/orders/unloading.py
+++ b/goldcreststair/components/orders/unloading.py
@@ -6,7 +6,7 @@
 from goldcreststair.components.orders.const import UNLOAD_DRAIN_MS, UNLOAD_SPREAD_MS
 
 
-class UnloadWaits:
+class UnloadDelays:
     """Since when each loaded model or adapter of one engine is unwanted."""
 
     def __init__(self) -> None:
--- a/standins/measure/batch.py
+++ b/standins/measure/batch.py
@@ -131,7 +131,9 @@
 def _count_done(fleet: BatchFleet, job: str) -> int:
     if not job:
         return 0
-    held = sum(len(c.finished) for s in fleet.services.values() for c in s.keeper.chunks.values())
+    held = sum(
+        len(c.finished) for s in fleet.services.values() for c in s.chunk_owner.chunks.values()
+    )
     return held + sum(
         decode_chunk(value).states.count("d")
         for value in fleet.world.find_all(f"chunk/{job}/").values()
@@ -139,7 +141,7 @@
 
 
 def _count_commits(fleet: BatchFleet) -> int:
-    return sum(service.keeper.commits for service in fleet.services.values())
+    return sum(service.chunk_owner.commits for service in fleet.services.values())
 
 
 @app.default
--- a/standins/measure/batch_watch.py
+++ b/standins/measure/batch_watch.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from goldcreststair.clock import Millis
-from goldcreststair.components.batch.dispatcher import Steward
+from goldcreststair.components.batch.dispatcher import UpstreamDispatcher
 from standins.engine.models import Generation
 from standins.measure.batch_online import BURST_EVERY_S, BURST_S, is_burst
 from tests.helpers.batch_fleet import BatchFleet
@@ -90,11 +90,11 @@
             self._admitted.add(generation.request_id)
         return missing
 
-    def _list_stewards(self) -> list[Steward]:
+    def _list_stewards(self) -> list[UpstreamDispatcher]:
         services = self._fleet.services.values()
         return [
             steward
             for service in services
-            for name, steward in service.stewards.by_name.items()
+            for name, steward in service.dispatchers.by_name.items()
             if name == "e1"
         ]
--- a/tests/cli/test_batch.py
+++ b/tests/cli/test_batch.py
@@ -146,6 +146,6 @@
                 outcome = await daemon.async_call(Call("POST", path, headers, opened))
             error = outcome.err_value  # type: ignore[attr-defined]
             assert (error.status, error.not_run, error.retry_after_s) == (503, not_run, 2)
-            assert not daemon.core.get(BATCH).keeper.chunks
+            assert not daemon.core.get(BATCH).chunk_owner.chunks
 
     asyncio.run(asyncio.wait_for(async_test(), 30))
--- a/tests/components/batch/test_controllers.py
+++ b/tests/components/batch/test_controllers.py
@@ -6,11 +6,11 @@
 
 from goldcreststair.clock import Millis
 from goldcreststair.components.batch.allowance import AllowanceController, AllowanceParameters
-from goldcreststair.components.batch.burst import BurstHold, BurstParameters
+from goldcreststair.components.batch.burst import BurstLimiter, BurstParameters
 from goldcreststair.components.batch.chunks import Chunk
-from goldcreststair.components.batch.fair_scheduler import ChunkFacts, FairOrder
+from goldcreststair.components.batch.fair_scheduler import ChunkFacts, FairScheduler
 from goldcreststair.components.batch.models import ChunkRecord, Item, ItemState
-from goldcreststair.components.batch.online_load import OnlineLoad, OnlineTeller
+from goldcreststair.components.batch.online_load import OnlineLoad, OnlineLoadReporter
 from goldcreststair.components.batch.onset import OnsetDetector
 from goldcreststair.online_pressure import UpstreamPressure
 from goldcreststair.upstreams.models import LoadReport
@@ -71,7 +71,7 @@
 
 
 def test_order_is_fair_between_customers_and_by_laxity_within_one() -> None:
-    order = FairOrder()
+    order = FairScheduler()
     chunks = [
         ChunkFacts("late", "acme", 1000, 100),
         ChunkFacts("soon", "acme", 500, 100),
@@ -85,7 +85,7 @@
 
 
 def test_absent_customer_saves_up_no_claim() -> None:
-    order = FairOrder()
+    order = FairScheduler()
     acme, back = ChunkFacts("a", "acme", 0, 1), ChunkFacts("b", "back", 0, 1)
     order.rank([acme], 0)
     order.charge("acme", 1000, 1.0)
@@ -155,7 +155,7 @@
     the requests have gone and is back in one step.
     """
     clock = ManualClock()
-    hold = BurstHold(clock, BurstParameters(share=0.25, over_share=0.5, patience_ms=4000))
+    hold = BurstLimiter(clock, BurstParameters(share=0.25, over_share=0.5, patience_ms=4000))
     hold.begin(64, 12)
     for told in (20, 30, 40, 45):
         clock.advance(500)
@@ -170,7 +170,7 @@
 def test_batch_rises_again_in_a_burst_that_stays() -> None:
     """Online work doubles for good; a hold without an end would starve batch for hours."""
     clock = ManualClock()
-    hold = BurstHold(clock, BurstParameters(share=0.25, patience_ms=4000, rise_ms=500))
+    hold = BurstLimiter(clock, BurstParameters(share=0.25, patience_ms=4000, rise_ms=500))
     hold.begin(64, 12)
     clock.advance(4000)
     assert hold.bound == 16
@@ -212,7 +212,7 @@
 def test_requests_in_flight_are_told_when_they_change() -> None:
     """Told at each request, the hints of a fleet at full size would exceed the control budget."""
     clock = ManualClock()
-    teller = OnlineTeller(clock)
+    teller = OnlineLoadReporter(clock)
     told = [teller.observe(UpstreamPressure(count, 0)) for count in (0, 1, 2, 3, 4, 3, 2)]
     assert told == [False, False, True, False, True, False, True]
     clock.advance(5000)
--- a/tests/components/batch/test_failures.py
+++ b/tests/components/batch/test_failures.py
@@ -54,7 +54,7 @@
 
     async def story(fleet: BatchFleet) -> None:
         manifest = (await fleet.async_submit(make_lines(300))).unwrap()
-        await fleet.async_kill(next(vm for vm, s in fleet.services.items() if s.keeper.chunks))
+        await fleet.async_kill(next(vm for vm, s in fleet.services.items() if s.chunk_owner.chunks))
         await fleet.async_wait(manifest.job)
         assert (await fleet.async_check(manifest.job))["done"] == 300
 
@@ -71,13 +71,13 @@
     async def story(fleet: BatchFleet) -> None:
         manifest = (await fleet.async_submit(make_lines(128, tokens=60))).unwrap()
         await fleet.clock.async_sleep(1500)
-        owner = next(vm for vm, s in fleet.services.items() if s.keeper.chunks)
+        owner = next(vm for vm, s in fleet.services.items() if s.chunk_owner.chunks)
         other = next(vm for vm in fleet.services if vm != owner)
-        chunk = next(iter(fleet.services[owner].keeper.chunks.values()))
+        chunk = next(iter(fleet.services[owner].chunk_owner.chunks.values()))
         index = chunk.partition.index
         fleet.world.move(index, other, tell_old=False)
         await fleet.async_wait(manifest.job)
-        assert chunk.key in fleet.services[owner].keeper.chunks, "the old owner was told"
+        assert chunk.key in fleet.services[owner].chunk_owner.chunks, "the old owner was told"
         await fleet.clock.async_sleep(10_000)
         fleet.world.ledgers[owner].lose(index)
         assert (await fleet.async_check(manifest.job))["done"] == 128
@@ -99,7 +99,7 @@
         assert any(
             lease.holder == victim
             for service in fleet.services.values()
-            for chunk in service.keeper.chunks.values()
+            for chunk in service.chunk_owner.chunks.values()
             for lease in chunk.leases.values()
         )
         await fleet.async_wait(manifest.job)
@@ -120,7 +120,7 @@
         fleet.world.down = fleet.platform.faults.down = True
         await fleet.clock.async_sleep(180_000)
         held = sum(
-            len(c.finished) for s in fleet.services.values() for c in s.keeper.chunks.values()
+            len(c.finished) for s in fleet.services.values() for c in s.chunk_owner.chunks.values()
         )
         assert held > 100, "nothing went on through the outage"
         fleet.world.down = fleet.platform.faults.down = False
--- a/tests/components/batch/test_handover.py
+++ b/tests/components/batch/test_handover.py
@@ -76,12 +76,12 @@
         held = [
             lease
             for service in fleet.services.values()
-            for chunk in service.keeper.chunks.values()
+            for chunk in service.chunk_owner.chunks.values()
             for lease in chunk.leases.values()
             if lease.holder == leaving
         ]
         assert not held
-        assert not fleet.services[leaving].stewards.by_name
+        assert not fleet.services[leaving].dispatchers.by_name
         await fleet.async_kill(leaving)
         await fleet.async_wait(manifest.job)
         assert (await fleet.async_check(manifest.job))["done"] == 300
@@ -103,13 +103,16 @@
         manifest = (await fleet.async_submit(lines)).unwrap()
         services = fleet.services.values()
         while not any(
-            t.suspect for s in services for c in s.keeper.chunks.values() for t in c.tries.values()
+            t.suspect
+            for s in services
+            for c in s.chunk_owner.chunks.values()
+            for t in c.tries.values()
         ):
             await fleet.clock.async_sleep(50)
         await fleet.clock.async_sleep(200)
-        owner = next(vm for vm, s in fleet.services.items() if s.keeper.chunks)
+        owner = next(vm for vm, s in fleet.services.items() if s.chunk_owner.chunks)
         await fleet.async_kill(owner)
-        chunk = next(c for s in fleet.services.values() for c in s.keeper.chunks.values())
+        chunk = next(c for s in fleet.services.values() for c in s.chunk_owner.chunks.values())
         assert chunk.tries[5].suspect
         await fleet.async_wait(manifest.job)
         counts = await fleet.async_check(manifest.job, {"poison 0|40": "quarantined"})
--- a/tests/helpers/batch_fleet.py
+++ b/tests/helpers/batch_fleet.py
@@ -101,12 +101,12 @@
         self.network.kill(session_id)
         service = self.services.pop(session_id)
         self.world.ledgers.pop(session_id)
-        keeper, stewards = service.keeper, service.stewards
-        running = [*keeper._tasks, *keeper._jobs._tasks, *stewards._tasks]
+        keeper, stewards = service.chunk_owner, service.dispatchers
+        running = [*keeper._tasks, *keeper._job_monitor._tasks, *stewards._tasks]
         for task in [service._ticking, *running]:
             if task is not None:
                 task.cancel()
-        for steward in service.stewards.by_name.values():
+        for steward in service.dispatchers.by_name.values():
             for stream in steward.running:
                 assert stream.task is not None
                 stream.task.cancel()
