--- a/goldcreststair/components/quarantine/__init__.py
+++ b/goldcreststair/components/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that crash whatever runs them."""
+"""Quarantine of requests that crash the upstreams running them."""
 
 from goldcreststair.components.quarantine.controller import QuarantineController
 from goldcreststair.components.quarantine.protocols import QUARANTINE
@@ -6,6 +6,6 @@
 
 
 async def async_setup(core: Core) -> Component:
-    """Set up the controller."""
+    """Offer `QUARANTINE`."""
     core.offer(QUARANTINE, QuarantineController(core))
     return PassiveComponent()
--- a/goldcreststair/components/quarantine/const.py
+++ b/goldcreststair/components/quarantine/const.py
@@ -1,9 +1,9 @@
-"""Constants of the quarantine."""
+"""Constants of the request quarantine."""
 
 from typing import Final
 
 SET_SUSPECTS: Final = "crash_suspects"
-"""Items are `FINGERPRINT:CRASHES`, crashes counted while the request ran alone."""
+"""Items are `FINGERPRINT:CRASHES`; counts crashes in which the request was the only suspect."""
 
 CRASHES_TO_QUARANTINE: Final = 2
 SUSPECT_LIFETIME_MS: Final = 10 * 60_000
--- a/goldcreststair/components/quarantine/protocols.py
+++ b/goldcreststair/components/quarantine/protocols.py
@@ -1,4 +1,4 @@
-"""What other components ask of the quarantine."""
+"""Interface of the quarantine for other components."""
 
 import hashlib
 from typing import Final, Protocol
@@ -9,11 +9,11 @@
 from goldcreststair.core import ComponentKey
 
 DELIVERY_FIELDS: Final = ("stream", "stream_options")
-"""Fields of a request that change only how its answer travels."""
+"""Request fields that change only how the response is delivered, not what is generated."""
 
 
 def make_fingerprint(customer: str, body: bytes) -> str:
-    """Return what recognises a request that is sent again, online or as an item of a job.
+    """Return an id that is equal for equal requests, sent online or as an item of a batch job.
 
     >>> make_fingerprint("acme", b'{"a": 1, "b": 2}') == make_fingerprint("acme", b'{"b":2,"a":1}')
     True
@@ -23,8 +23,8 @@
 
 
 def _normalise(body: bytes) -> bytes:
-    # Jobs are read, completed and streamed: by its bytes, a request that batch has quarantined
-    # would be a new one online and crash engines all over again.
+    # Batch parses items, adds missing fields and streams them. Hashing the raw bytes would give a
+    # request quarantined by batch another fingerprint online, where it would crash engines again.
     try:
         request = orjson.loads(body)
     except ValueError:
@@ -36,7 +36,7 @@
 
 
 class Quarantine(Protocol):
-    """Finds out which request crashes upstreams, and keeps it out of the whole fleet."""
+    """Identifies requests that crash upstreams and blocks them on the whole fleet."""
 
     def is_quarantined(self, fingerprint: str) -> bool:
         """Return whether the request must not run."""
@@ -45,13 +45,13 @@
         """Return whether the request must run apart from other suspects."""
 
     def begin(self, upstream: str, request_id: str, fingerprint: str) -> None:
-        """Note that a request runs at an upstream."""
+        """Record that a request started at an upstream."""
 
     def end(self, upstream: str, request_id: str, *, ok: bool) -> None:
-        """Note that a run ended; `ok` clears the request of suspicion."""
+        """Record that a run ended; `ok` clears a suspect that has no counted crash."""
 
     def report_crash(self, upstream: str, request_id: str) -> None:
-        """Note that a run's connection broke; call before its `end`."""
+        """Record that a run's connection broke; call before its `end`."""
 
 
 QUARANTINE: Final = ComponentKey[Quarantine]("quarantine")
--- a/tests/components/quarantine/test_controller.py
+++ b/tests/components/quarantine/test_controller.py
@@ -1,4 +1,4 @@
-"""Who is blamed for a crash."""
+"""Which request a crash is attributed to."""
 
 from goldcreststair.components.membership.protocols import SHARED_SETS
 from goldcreststair.components.quarantine.controller import QuarantineController
@@ -21,11 +21,11 @@
         quarantine.end(upstream, f"r-{fingerprint}", ok=False)
 
 
-def test_one_crash_blames_nobody_alone() -> None:
-    """A crash breaks three connections, one after the other.
+def test_one_crash_counts_against_no_single_request() -> None:
+    """One crash breaks three connections, reported one after the other.
 
-    Counted one by one, the last would seem to have crashed alone, and after two such crashes
-    an innocent request would be refused in the whole fleet.
+    If each report counted as a crash, the last request would seem to have crashed alone, and
+    after two such crashes an innocent request would be refused on the whole fleet.
     """
     quarantine = make_controller(FakeSharedSets())
     for _ in range(3):
@@ -34,11 +34,11 @@
     assert not any(quarantine.is_quarantined(fingerprint) for fingerprint in "abc")
 
 
-def test_suspicion_outlives_a_resend_to_another_vm() -> None:
-    """A request crashes alone on one VM, and its caller sends it again to another VM.
+def test_suspicion_is_shared_with_other_vms() -> None:
+    """A request crashes as the only suspect on one VM and is resent to another VM.
 
-    Counted afresh there, it would crash twice as many upstreams; the second crash alone must
-    quarantine it everywhere, and the one that ran to its end is cleared.
+    If the count restarted there, it would crash twice as many upstreams. The second such crash
+    must quarantine it on every VM; a suspect that completes is cleared.
     """
     shared = FakeSharedSets()
     first, second = make_controller(shared), make_controller(shared)
