--- a/goldcreststair/components/orders/desired.py
+++ b/goldcreststair/components/orders/desired.py
@@ -1,4 +1,4 @@
-"""What the configuration wants of an engine, and what the engine says of itself."""
+"""Desired state of an engine by the configuration, and its reported state."""
 
 from goldcreststair.components.configuration.models import Configuration
 from goldcreststair.components.orders.const import EPOCH_BITS
@@ -9,9 +9,9 @@
 def make_fencing(partitions: int, epoch: int) -> int:
     """Return the fencing number of a partition's owner.
 
-    With more partitions an upstream may come into another one, whose epoch is lower: engines would
-    refuse each order of the new steward for good. The number of partitions only grows, so above
-    the epoch it makes every later owner's number the greater one.
+    When the number of partitions grows, an upstream may move to a partition with a lower epoch,
+    and engines would refuse all orders of its new owner. The number of partitions never shrinks,
+    so in the bits above the epoch it makes the numbers of later owners greater.
 
     >>> make_fencing(64, 900) < make_fencing(128, 1)
     True
@@ -20,7 +20,7 @@
 
 
 def make_desired_state(configuration: Configuration, upstream: Upstream) -> EngineState:
-    """Return what an engine shall serve."""
+    """Return what an engine should serve."""
     versions = configuration.models
     return EngineState(
         models=frozenset(upstream.models),
@@ -31,7 +31,7 @@
 
 
 def read_reported_state(report: LoadReport) -> EngineState:
-    """Return what an engine serves by its own, lagged report."""
+    """Return what an engine serves by its own load report, which lags."""
     return EngineState(
         models=frozenset(report.models),
         adapters=frozenset(report.adapters),
--- a/goldcreststair/components/orders/models.py
+++ b/goldcreststair/components/orders/models.py
@@ -1,4 +1,4 @@
-"""Wanted and reported states of engines, and what was ordered."""
+"""Desired and reported states of engines, and orders to them."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 
 class Action(StrEnum):
-    """What an engine can be ordered to do; each is idempotent."""
+    """Action of an order to an engine; each is idempotent."""
 
     LOAD_MODEL = "load_model"
     UNLOAD_MODEL = "unload_model"
@@ -20,19 +20,19 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """What an engine serves, wanted or reported."""
+    """What an engine serves, either desired or reported."""
 
     models: frozenset[str] = frozenset()
     adapters: frozenset[str] = frozenset()
     versions: Mapping[str, str] = field(default_factory=dict)
-    """Model to version; a model that is not named may have any."""
+    """Version by model; a model without an entry may have any version."""
     role: str = ""
-    """Empty wants no particular one."""
+    """Empty if any role will do."""
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One order to give."""
+    """One order to send."""
 
     action: Action
     target: str
@@ -46,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """How far this steward has come with one engine."""
+    """Retry state of a reconciler for its engine."""
 
     gained_at: Millis
-    """When this VM became the engine's steward."""
+    """When this VM became the engine's owner."""
     wait_until: Millis
-    """No order is given before this time."""
+    """No order is sent before this time."""
     failures: int = 0
--- a/goldcreststair/components/orders/reconciler.py
+++ b/goldcreststair/components/orders/reconciler.py
@@ -1,4 +1,4 @@
-"""Brings one engine to what is wanted of it, one order at a time."""
+"""Brings one engine to its desired state, one order at a time."""
 
 import logging
 
@@ -35,78 +35,80 @@
 
 
 class EngineReconciler:
-    """The orders of one owner, in one epoch, to one engine."""
+    """Sends the orders of one owner, in one epoch, to one engine."""
 
     def __init__(
         self, core: Core, budget: WeightBudget, upstream: Upstream, partition: Partition
     ) -> None:
-        """Take over an engine."""
+        """Create for an engine whose partition this VM owns."""
         self.upstream = upstream
         self.partition = partition
         self._core = core
         self._budget = budget
         self._progress = begin_progress(core.clock.now(), checks_fencing=upstream.checks_fencing)
-        self._unloads = UnloadDelays()
+        self._unload_delays = UnloadDelays()
         self._fenced_at: Millis | None = None
-        self._held_until: dict[str, Millis] = {}
+        self._on_hold_until: dict[str, Millis] = {}
         self._orders = 0
 
     async def async_check(self) -> None:
-        """Compare the engine with what is wanted and give at most one order."""
+        """Compare the reported with the desired state and send at most one order."""
         if self._core.clock.now() < self._progress.wait_until or not self._may_order():
             return
-        read = await self._core.upstreams.engines.async_read_load(self.upstream)
-        if isinstance(read, Err):
+        loaded = await self._core.upstreams.engines.async_read_load(self.upstream)
+        if isinstance(loaded, Err):
             return
-        step = self._choose(read.ok_value)
-        if step is None or (step.loads_weights and not await self._async_take_weights(step)):
+        step = self._choose(loaded.ok_value)
+        if step is None or (step.loads_weights and not await self._async_reserve_weights(step)):
             return
-        # The reads above took time in which the partition may have gone to another VM.
+        # The partition may have moved to another VM during the reads above.
         if self._may_order():
             await self._async_order(step)
 
     def _may_order(self) -> bool:
         confirmed_at = self.partition.confirmed_at
-        # After "fenced" there is a newer steward, or was one: ownership counts only as shown by
-        # a store call that began later. Otherwise two stewards would undo each other's work.
+        # "Fenced" means that there is or was a newer owner. Ownership must then be confirmed by a
+        # store call that began later, or two owners would undo each other's orders.
         if self._fenced_at is not None and confirmed_at <= self._fenced_at:
             return False
         if self.upstream.checks_fencing:
             return True
-        # A steward that was paused past a change of owner wakes up and orders an older state. An
-        # engine that ignores fencing obeys, so ownership must have been shown of late.
+        # A process paused during a change of owner resumes and orders an older state. An engine
+        # that ignores fencing accepts that, so ownership must have been confirmed recently.
         return self._core.clock.now() - confirmed_at <= FRESH_OWNERSHIP_MS
 
     def _choose(self, report: LoadReport) -> Step | None:
         configuration = self._core.blackboard.read(CONFIGURATION)
-        wanted = make_desired_state(configuration, self.upstream)
+        desired = make_desired_state(configuration, self.upstream)
         reported = read_reported_state(report)
         now = self._core.clock.now()
-        unwanted = (reported.models - wanted.models) | (reported.adapters - wanted.adapters)
-        self._unloads.observe(unwanted, now)
-        held = {target for target, until in self._held_until.items() if now < until}
-        step = choose_step(wanted, reported, held)
+        undesired = (reported.models - desired.models) | (reported.adapters - desired.adapters)
+        self._unload_delays.observe(undesired, now)
+        on_hold = {target for target, until in self._on_hold_until.items() if now < until}
+        step = choose_step(desired, reported, on_hold)
         if step is None or step.action not in UNLOADS:
             return step
         in_use = frozenset(report.in_use)
-        free = sorted(name for name in unwanted if self._unloads.may_unload(name, in_use, now))
-        if not free:
+        unloadable = sorted(
+            name for name in undesired if self._unload_delays.may_unload(name, in_use, now)
+        )
+        if not unloadable:
             return None
-        is_model = free[0] in reported.models
-        return Step(Action.UNLOAD_MODEL if is_model else Action.UNLOAD_ADAPTER, free[0])
+        is_model = unloadable[0] in reported.models
+        return Step(Action.UNLOAD_MODEL if is_model else Action.UNLOAD_ADAPTER, unloadable[0])
 
-    async def _async_take_weights(self, step: Step) -> bool:
+    async def _async_reserve_weights(self, step: Step) -> bool:
         described = await self._core.platform.weights.async_describe(step.target)
         now = self._core.clock.now()
         if isinstance(described, Err):
             missing = isinstance(described.err_value, ObjectMissing)
-            reason = "no such weights" if missing else "weight store does not answer"
-            # One mistyped model must not keep all other orders from its engine.
-            self._held_until[step.target] = Millis(now + RETRY_CAP_MS)
+            reason = "weights not found" if missing else "weight store is unavailable"
+            # One mistyped model must not block all other orders to its engine.
+            self._on_hold_until[step.target] = Millis(now + RETRY_CAP_MS)
             self._record("hold", f"{reason}: {described.err_value.message}", step)
             return False
         members = len(self._core.blackboard.read(MEMBERS).by_session)
-        return self._budget.try_take(described.ok_value, members, now)
+        return self._budget.try_reserve(described.ok_value, members, now)
 
     async def _async_order(self, step: Step) -> None:
         self._orders += 1
@@ -118,17 +120,22 @@
             target=step.target,
             value=step.value,
         )
-        self._record("order", "differs from the configuration", step, fencing=order.fencing)
+        self._record(
+            "order",
+            "the reported state differs from the configuration",
+            step,
+            fencing=order.fencing,
+        )
         sent = await self._core.upstreams.engines.async_send_order(self.upstream, order)
         now = self._core.clock.now()
         if isinstance(sent, Ok):
             self._progress = record_success(self._progress, now)
             return
-        self._take_error(sent.err_value, step, now)
+        self._handle_error(sent.err_value, step, now)
 
-    def _take_error(self, error: UpstreamError, step: Step, now: Millis) -> None:
-        # An order whose outcome is unknown is no case of its own: orders are idempotent, and the
-        # next report that can show its effect is compared again.
+    def _handle_error(self, error: UpstreamError, step: Step, now: Millis) -> None:
+        # An unknown outcome needs no special handling: orders are idempotent, and the next load
+        # report that can show the effect is compared again.
         fenced = error.failure is UpstreamFailure.FENCED
         unknown = not (fenced or error.not_run or error.failure is UpstreamFailure.REJECTED)
         if fenced:
@@ -136,8 +143,10 @@
         self._record("fenced" if fenced else "order failed", error.message, step, unknown=unknown)
         self._progress = record_failure(self._progress, now, maybe_running=unknown)
 
-    def _record(self, choice: str, reason: str, step: Step, **seen: str | int | bool) -> None:
-        _LOGGER.info("%s of %s: %s %s", choice, self.upstream.name, step.action, step.target)
+    def _record(self, choice: str, reason: str, step: Step, **details: str | int | bool) -> None:
+        _LOGGER.info(
+            "%s for engine %s: %s %s", choice, self.upstream.name, step.action, step.target
+        )
         self._core.journal.record(
             Subject.UPSTREAM,
             self.upstream.name,
@@ -147,5 +156,5 @@
             target=step.target,
             value=step.value,
             epoch=self.partition.epoch,
-            **seen,
+            **details,
         )
--- a/goldcreststair/components/orders/unloading.py
+++ b/goldcreststair/components/orders/unloading.py
@@ -1,4 +1,4 @@
-"""When a model that is wanted no more may be unloaded; no I/O."""
+"""Decides when a model that is no longer desired may be unloaded; no I/O."""
 
 from collections.abc import Set
 
@@ -7,20 +7,20 @@
 
 
 class UnloadDelays:
-    """Since when each loaded model or adapter of one engine is unwanted."""
+    """Times since which loaded models and adapters of one engine are no longer desired."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create with no models."""
         self._since: dict[str, Millis] = {}
 
-    def observe(self, unwanted: Set[str], now: Millis) -> None:
-        """Take what is loaded but not wanted; what is wanted again starts anew."""
-        self._since = {name: self._since.get(name, now) for name in unwanted}
+    def observe(self, undesired: Set[str], now: Millis) -> None:
+        """Apply what is loaded but not desired; the time restarts for what was desired in between."""
+        self._since = {name: self._since.get(name, now) for name in undesired}
 
     def may_unload(self, name: str, in_use: Set[str], now: Millis) -> bool:
-        """Return whether nothing runs on `name` any more, or has had its time."""
-        # Shows as streams cut in the middle by an operator's patch: VMs that have not heard of it
-        # still send requests, and a report of before is silent about those that just came.
+        """Return whether no request uses `name` any more, or `UNLOAD_DRAIN_MS` has passed."""
+        # An operator's patch would otherwise cut streams: VMs that have not applied it yet still
+        # send requests, and an older load report does not list requests that just arrived.
         waited_ms = now - self._since.get(name, now)
         if waited_ms < UNLOAD_SPREAD_MS:
             return False
--- a/tests/components/orders/test_controller.py
+++ b/tests/components/orders/test_controller.py
@@ -1,4 +1,4 @@
-"""Orders converge an engine to what is wanted, one idempotent step at a time."""
+"""Orders bring an engine to its desired state, one idempotent step at a time."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("wanted", "reported", "step"),
+    ("desired", "reported", "step"),
     [
         (EngineState(A), EngineState(A), None),
         (EngineState(A), EngineState(B), Step(Action.LOAD_MODEL, "a")),
@@ -38,16 +38,16 @@
     ],
 )
 def test_chooses_the_next_step(
-    wanted: EngineState, reported: EngineState, step: Step | None
+    desired: EngineState, reported: EngineState, step: Step | None
 ) -> None:
-    assert choose_step(wanted, reported) == step
+    assert choose_step(desired, reported) == step
 
 
-def test_waits_out_the_last_steward_where_fencing_is_ignored() -> None:
-    """A steward gives an order and is lost; its order is still under way at the engine.
+def test_waits_for_orders_of_the_previous_owner_if_fencing_is_ignored() -> None:
+    """An owner sends an order and is lost while the engine still carries it out.
 
-    The next steward orders something else at once; the engine, which ignores fencing numbers,
-    then ends the older order last and stays in the wrong state.
+    If the next owner sent another order at once, an engine that ignores fencing numbers could
+    complete the older order last and stay in the wrong state.
     """
     now = Millis(5000)
     assert begin_progress(now, checks_fencing=True).wait_until == now
@@ -64,11 +64,11 @@
     assert waits == [1000, 2000, 4000, 8000, 16000, 30000, 30000]
 
 
-def test_budget_keeps_the_fleets_rate() -> None:
-    """A hundred VMs load a model at once; together they must not exceed the weight store's rate."""
+def test_budget_limits_the_rate_of_the_fleet() -> None:
+    """100 VMs load a model at once; together they must not exceed the weight store's rate."""
     budgets = [WeightBudget(1000) for _ in range(100)]
     loads = 0
     for now in range(0, 60_000, 100):
-        loads += sum(budget.try_take(500, 100, Millis(now)) for budget in budgets)
-    # Each may begin one load before its share is paid for.
+        loads += sum(budget.try_reserve(500, 100, Millis(now)) for budget in budgets)
+    # Each VM may start one load before its share has covered it.
     assert loads * 500 <= 60 * 1000 + 100 * 500
--- a/tests/components/orders/test_service.py
+++ b/tests/components/orders/test_service.py
@@ -1,4 +1,4 @@
-"""Stewards bring engines to the configuration through races, pauses and losses."""
+"""Reconcilers bring engines to the configuration despite races, pauses and losses."""
 
 import asyncio
 
@@ -10,15 +10,15 @@
 from tests.helpers.order_worlds import WEIGHT_BYTES, OrderWorld, run_orders
 
 BOTH_KINDS = pytest.mark.parametrize("checks_fencing", [True, False])
-ENOUGH_S = LONGEST_ORDER_MS / 1000 + 30
+CONVERGE_S = LONGEST_ORDER_MS / 1000 + 30
 
 
 @BOTH_KINDS
 def test_last_accepted_version_wins(checks_fencing: bool) -> None:
-    """Two operators patch an engine's models one after the other; both are accepted.
+    """Two patches of an engine's models are accepted one after the other.
 
-    The steward is in the middle of the first one's order when the second version comes. The
-    engine must end with what the second one says, and nothing of the first may come back.
+    The second version arrives while an order for the first is in flight. The engine must end
+    in the second version's state, and nothing of the first may come back.
     """
 
     async def async_body(world: OrderWorld) -> None:
@@ -28,7 +28,7 @@
         asyncio.get_running_loop().call_later(
             3, lambda: vm.apply(2, models=["small", "b"], checks_fencing=checks_fencing)
         )
-        for _ in range(int(ENOUGH_S)):
+        for _ in range(int(CONVERGE_S)):
             await asyncio.sleep(1)
             vm.confirm()
         assert set(world.versions) == {"small", "b"}
@@ -38,11 +38,11 @@
 
 
 @BOTH_KINDS
-def test_steward_that_was_paused_changes_nothing(checks_fencing: bool) -> None:
-    """A model that an operator removed comes back, and traffic is served by the old one.
+def test_owner_that_was_paused_changes_nothing(checks_fencing: bool) -> None:
+    """A model that an operator removed must not come back after a pause of the old owner.
 
-    The old steward is paused with an order on its way; another VM takes over and brings the
-    engine to a newer version; then the old one wakes, its order goes out, and it orders on.
+    The old owner is paused with an order in flight. Another VM takes over and brings the engine
+    to a newer version; then the old owner resumes and its order is sent.
     """
 
     async def async_body(world: OrderWorld) -> None:
@@ -55,16 +55,16 @@
             old.confirm()
         new.gain(2)
         new.apply(2, models=["small", "b"], checks_fencing=checks_fencing)
-        reached = False
-        for second in range(int(2 * ENOUGH_S)):
+        converged = False
+        for second in range(int(2 * CONVERGE_S)):
             await asyncio.sleep(1)
             new.confirm()
             if second == 30:
                 old.way.gate.set()
-            wanted = set(world.versions) == {"small", "b"}
-            assert wanted or not reached
-            reached = wanted
-        assert reached
+            desired = set(world.versions) == {"small", "b"}
+            assert desired or not converged
+            converged = desired
+        assert converged
         settled = len(world.engine.applied_orders)
         await asyncio.sleep(120)
         assert len(world.engine.applied_orders) == settled
@@ -72,11 +72,11 @@
     run_orders(async_body, checks_fencing=checks_fencing)
 
 
-def test_fenced_steward_asks_again_only_as_confirmed_owner() -> None:
-    """Two VMs undo each other's orders for minutes after a change of owner.
+def test_fenced_owner_orders_again_only_when_confirmed() -> None:
+    """Two VMs must not undo each other's orders after a change of owner.
 
-    The engine refuses the old one's numbers. It must not go on asking until a store call that
-    began after the refusal showed that it still owns the partition.
+    The engine refuses the old owner's fencing number. The old owner must send no order until a
+    store call that began after the refusal confirms that it still owns the partition.
     """
 
     async def async_body(world: OrderWorld) -> None:
@@ -95,10 +95,11 @@
     run_orders(async_body)
 
 
-def test_order_whose_answer_is_lost_is_compared_again() -> None:
-    """The engine loads the model, but its answer is lost.
+def test_order_whose_response_is_lost_is_compared_again() -> None:
+    """The engine loads the model, but its response is lost.
 
-    The steward must neither give up nor unload and load again; the next report settles it.
+    The reconciler must neither give up nor unload and reload; the next load report shows the
+    outcome.
     """
 
     async def async_body(world: OrderWorld) -> None:
@@ -114,22 +115,22 @@
 
 
 @BOTH_KINDS
-def test_steward_lost_in_the_middle_of_a_load(checks_fencing: bool) -> None:
-    """The steward's VM is lost while the engine loads; the model must be served all the same."""
+def test_owner_lost_during_a_load(checks_fencing: bool) -> None:
+    """The owner is lost while the engine loads a model; the model must be served nevertheless."""
 
     async def async_body(world: OrderWorld) -> None:
         first, second = world.vms
         for vm in world.vms:
             vm.apply(1, models=["small", "a"], versions={"a": "7"}, checks_fencing=checks_fencing)
         first.gain(1)
-        for _ in range(int(ENOUGH_S)):
+        for _ in range(int(CONVERGE_S)):
             await asyncio.sleep(1)
             first.confirm()
             if first.core.journal.find(Subject.UPSTREAM, "e1"):
                 break
         await first.service.async_close()
         second.gain(2)
-        for _ in range(int(ENOUGH_S)):
+        for _ in range(int(CONVERGE_S)):
             await asyncio.sleep(1)
             second.confirm()
         assert world.versions == {"small": "1", "a": "7"}
@@ -138,9 +139,9 @@
 
 
 def test_engine_restarted_empty_is_reloaded() -> None:
-    """An engine comes back from a restart without any model: requests are refused there for good.
+    """An engine restarts without any model and would refuse requests until a patch.
 
-    Nobody patches anything, so only a comparison with its report can show it.
+    The configuration does not change, so only the comparison with its load report shows it.
     """
 
     async def async_body(world: OrderWorld) -> None:
@@ -169,10 +170,10 @@
     run_orders(async_body)
 
 
-def test_model_is_unloaded_after_its_streams() -> None:
-    """An operator takes a model from an engine, and members' streams there break off.
+def test_model_is_unloaded_after_its_streams_end() -> None:
+    """An operator removes a model from an engine while requests still run on it.
 
-    The steward unloads at once although requests still run on it.
+    Unloading it at once would break those streams.
     """
 
     async def async_body(world: OrderWorld) -> None:
@@ -192,10 +193,10 @@
     run_orders(async_body)
 
 
-def test_mistyped_model_holds_nothing_else_back() -> None:
-    """A patch names a model without weights; the rest of it must come into force.
+def test_mistyped_model_blocks_no_other_order() -> None:
+    """A patch names a model without weights; the rest of the patch must be applied.
 
-    Only unloading waits: what is to be replaced is served until its replacement is there.
+    Only unloads wait, so that models are served until their replacement is loaded.
     """
 
     async def async_body(world: OrderWorld) -> None:
@@ -208,10 +209,10 @@
     run_orders(async_body)
 
 
-def test_stewards_together_keep_the_weight_stores_rate() -> None:
-    """Every engine restarts empty in one night; all stewards load at once.
+def test_vms_together_keep_within_the_weight_store_rate() -> None:
+    """All engines restart empty and all VMs load models at once.
 
-    The weight store's rate is the fleet's: each VM may begin one load, then its share counts.
+    The fleet shares the weight store's rate: each VM may start one load, then its share limits it.
     """
     vms, load_s, duration_s = 10, 10, 150
 
