--- a/goldcreststair/components/batch/burst.py
+++ b/goldcreststair/components/batch/burst.py
@@ -1,4 +1,4 @@
-"""Holds batch down from a burst's onset until its online work has gone."""
+"""Limits batch from the onset of a burst until the burst's online requests have ended."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -8,64 +8,64 @@
 
 @dataclass(frozen=True, slots=True)
 class BurstParameters:
-    """What shapes the hold; the defaults are measured (docs/measurements/batch.md)."""
+    """Parameters of the limit; the defaults are measured (docs/measurements/batch.md)."""
 
     share: float = 0.08
-    """Share of the upstream's streams that batch keeps in a burst."""
+    """Share of the upstream's streams that batch keeps during a burst."""
     over_share: float = 0.5
-    """A burst is over when online work falls to this share of its most."""
+    """A burst is over when online requests fall to this share of their peak."""
     patience_ms: int = 4000
-    """Time without a sign of pressure after which the held share rises, for what lasts longer."""
+    """Time without pressure after which the bound rises, for loads that last."""
     rise_ms: int = 500
-    """Time for each stream that it rises by."""
+    """Time per stream by which the bound rises."""
     cut_share: float = 0.7
-    """What online work that waits leaves of the held share."""
+    """Share of the bound that is left when online work waits in spite of it."""
 
 
 NO_BOUND: Final = 1e9
 
 
 class BurstLimiter:
-    """Decides only; `bound` is what batch may run while the hold lasts."""
+    """Bound of batch streams during a burst; no I/O."""
 
     def __init__(self, clock: Clock, parameters: BurstParameters) -> None:
-        """Start with no burst."""
+        """Create without a burst."""
         self._clock = clock
         self._parameters = parameters
         self._share = NO_BOUND
-        self._most = 0
-        self._pressed_at = Millis(0)
+        self._peak = 0
+        self._pressure_at = Millis(0)
 
     @property
     def is_on(self) -> bool:
-        """Whether a burst is believed to last."""
+        """Whether a burst is going on."""
         return self._share < NO_BOUND
 
     @property
     def bound(self) -> float:
-        """Streams that batch may run."""
+        """Streams that batch may run; `NO_BOUND` without a burst."""
         if not self.is_on:
             return NO_BOUND
-        waited = self._clock.now() - self._pressed_at - self._parameters.patience_ms
+        waited = self._clock.now() - self._pressure_at - self._parameters.patience_ms
         return self._share + max(0, waited // self._parameters.rise_ms)
 
-    def begin(self, capacity: int, told: int) -> None:
-        """Take an onset; one that is seen again while the hold lasts changes nothing."""
+    def begin(self, capacity: int, online: int) -> None:
+        """Start limiting at an onset; does nothing while a burst is going on."""
         if self.is_on:
             return
         self._share = capacity * self._parameters.share
-        self._most = told
-        self._pressed_at = self._clock.now()
+        self._peak = online
+        self._pressure_at = self._clock.now()
 
-    def observe(self, told: int) -> None:
-        """Take the online requests there are now."""
-        # Released by the requests themselves and not by time: a share that rises during a burst
-        # fills the slots that the next online requests need, and is cut once more.
-        self._most = max(self._most, told)
-        if self.is_on and told <= self._most * self._parameters.over_share:
+    def observe(self, online: int) -> None:
+        """Apply the present count of online requests."""
+        # Ends by the count of requests and not by time: a bound that rises during a burst fills
+        # the slots that the next online requests need, and batch would be cut again.
+        self._peak = max(self._peak, online)
+        if self.is_on and online <= self._peak * self._parameters.over_share:
             self._share = NO_BOUND
 
-    def press(self) -> None:
-        """Take it that online work waits in spite of the hold."""
+    def tighten(self) -> None:
+        """Reduce the bound, as online work waits in spite of it."""
         self._share = self.bound * self._parameters.cut_share
-        self._pressed_at = self._clock.now()
+        self._pressure_at = self._clock.now()
--- a/goldcreststair/components/batch/dispatcher.py
+++ b/goldcreststair/components/batch/dispatcher.py
@@ -97,7 +97,7 @@
 
     def take_online(self, session: str, in_flight: int) -> None:
         """Make room for what a VM says that it has at the upstream."""
-        told = self._online.tell(session, in_flight)
+        told = self._online.apply_report(session, in_flight)
         self.allowance.observe_online(told)
         if self._onset.observe(told):
             self.allowance.begin_burst()
--- a/tests/components/batch/test_controllers.py
+++ b/tests/components/batch/test_controllers.py
@@ -204,9 +204,9 @@
     """A VM dies with requests in flight; nobody says that they ended."""
     clock = ManualClock()
     load = OnlineLoad(clock)
-    assert (load.tell("dead", 30), load.tell("vm1", 2)) == (30, 32)
+    assert (load.apply_report("dead", 30), load.apply_report("vm1", 2)) == (30, 32)
     clock.advance(11_000)
-    assert load.tell("vm1", 2) == 2
+    assert load.apply_report("vm1", 2) == 2
 
 
 def test_requests_in_flight_are_told_when_they_change() -> None:
