--- a/goldcreststair/components/batch/dispatcher.py
+++ b/goldcreststair/components/batch/dispatcher.py
@@ -1,4 +1,4 @@
-"""Runs batch items at one upstream within its allowance, and yields."""
+"""Runs batch items at one upstream within its allowance and preempts them for online work."""
 
 import asyncio
 import logging
@@ -10,7 +10,7 @@
 
 from goldcreststair.clock import Millis
 from goldcreststair.components.batch.allowance import AllowanceController
-from goldcreststair.components.batch.const import LOT_ITEMS
+from goldcreststair.components.batch.const import ASSIGNMENT_ITEMS
 from goldcreststair.components.batch.online_load import OnlineLoad
 from goldcreststair.components.batch.onset import OnsetDetector
 from goldcreststair.components.batch.outbox import Outbox
@@ -23,10 +23,10 @@
 _LOGGER = logging.getLogger(__name__)
 
 DRAIN_POLL_MS: Final = 50
-BACK_OFF_MS: Final = 1000
-"""Pause of an upstream that did not take an item, or crashed."""
+BACKOFF_MS: Final = 1000
+"""Pause after an upstream refused an item or crashed."""
 CRASH_WINDOW_MS: Final = 1000
-"""Streams lost so soon after a suspect's crash were bystanders of it."""
+"""Streams lost within this time after a suspect's crash are attributed to that crash."""
 
 _FAILURES: Final = {
     UpstreamFailure.CONNECT: Verdict.NOT_RUN,
@@ -36,106 +36,106 @@
 }
 
 
-class LotSource(Protocol):
-    """Where a dispatcher asks for items."""
+class ItemSource(Protocol):
+    """Source of items for a dispatcher."""
 
     async def async_request(self, request: LotRequest) -> list[LotItem]:
-        """Return items of a model, none if nobody has any."""
+        """Return items of a model; empty if no owner has any."""
 
 
 class UpstreamDispatcher:
-    """All batch streams of one upstream."""
+    """Starts, pauses and ends all batch streams of one upstream."""
 
     def __init__(
         self,
         core: Core,
         upstream: Upstream,
         allowance: AllowanceController,
-        source: LotSource,
+        source: ItemSource,
         outbox: Outbox,
     ) -> None:
-        """Start with nothing running."""
+        """Create without any streams."""
         self._core = core
         self.upstream = upstream
         self.allowance = allowance
         self._source = source
         self._outbox = outbox
         self.running: list[ItemStream] = []
-        """In the order of their starts."""
+        """In order of start."""
         self.paused: list[ItemStream] = []
         self._online = OnlineLoad(core.clock)
-        self._onset = OnsetDetector(core.clock)
+        self._onset_detector = OnsetDetector(core.clock)
         self.draining = False
-        self._pulling = False
-        self._may_pull = False
+        self._requesting = False
+        self._may_request = False
         self._suspect_turn = False
         self._blocked_until = Millis(0)
         self._suspect_lost_at: Millis | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def async_close(self) -> None:
-        """Cancel all streams and give their items back."""
+        """Cancel all streams and return their items."""
         for stream in tuple(self.running):
             self._pause(stream)
-        self._give_back()
+        self._return_paused()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def async_drain(self, deadline_at: int) -> None:
-        """Take nothing more; let streams end, and give back what has not by the deadline."""
+        """Start nothing more; return the items of streams that have not ended by the deadline."""
         self.draining = True
-        self._give_back()
+        self._return_paused()
         while self.running and self._core.clock.now() < deadline_at:
             await self._core.clock.async_sleep(DRAIN_POLL_MS)
         for stream in tuple(self.running):
             self._pause(stream)
-        self._give_back()
+        self._return_paused()
 
-    def _give_back(self) -> None:
+    def _return_paused(self) -> None:
         for stream in self.paused:
             self._report(stream.item, Verdict.NOT_RUN)
         self.paused.clear()
 
-    def take_online(self, session: str, in_flight: int) -> None:
-        """Make room for what a VM says that it has at the upstream."""
-        told = self._online.apply_report(session, in_flight)
-        self.allowance.observe_online(told)
-        if self._onset.observe(told):
+    def apply_online(self, session: str, in_flight: int) -> None:
+        """Apply a VM's report of its online requests at the upstream and preempt if needed."""
+        online = self._online.apply_report(session, in_flight)
+        self.allowance.observe_online(online)
+        if self._onset_detector.observe(online):
             self.allowance.begin_burst()
         self._enforce()
 
-    def take_queue(self) -> None:
-        """Yield at once: online work waits."""
+    def preempt(self) -> None:
+        """Preempt at once: online requests wait at the upstream."""
         self.allowance.cut(len(self.running))
         self._enforce()
 
-    def tick(self, *, pull: bool) -> None:
-        """Follow the allowance up or down."""
+    def tick(self, *, may_request: bool) -> None:
+        """Adjust the running streams to the allowance; request items if allowed."""
         self.allowance.tick(len(self.running))
         self._enforce()
         if self._core.clock.now() < self._blocked_until:
             return
-        # Nothing starts beside a suspect: a poison item among the new ones would crash the engine
-        # in its place, and an innocent would be quarantined (14 of 200 beside four poison items).
-        if self._is_proving():
+        # Nothing starts beside a suspect: if a new item crashed the engine, the crash would be
+        # counted against the suspect (14 of 200 good items were quarantined beside 4 poison items).
+        if self._is_suspect_running():
             return
-        self._may_pull = pull
+        self._may_request = may_request
         self._fill()
 
     def _fill(self) -> None:
-        """Start what waits here, then ask for more."""
-        while self.paused and len(self.running) < self._limit and not self._is_proving():
+        """Start paused streams, then request more items."""
+        while self.paused and len(self.running) < self._limit and not self._is_suspect_running():
             self._start(self.paused.pop(0))
-        self._pull()
+        self._request_items()
 
-    def _pull(self) -> None:
-        """Ask for items if there is room and nothing forbids new ones."""
-        if not self._may_pull or self._core.clock.now() < self._blocked_until:
+    def _request_items(self) -> None:
+        """Request items if the allowance has room and new items may start."""
+        if not self._may_request or self._core.clock.now() < self._blocked_until:
             return
-        if self.draining or self.paused or self._is_proving() or self._pulling:
+        if self.draining or self.paused or self._is_suspect_running() or self._requesting:
             return
         if self._limit > len(self.running):
-            self._pulling = True
-            self._spawn(self._async_pull(self._limit - len(self.running)))
+            self._requesting = True
+            self._spawn(self._async_request_items(self._limit - len(self.running)))
 
     def stop_chunk(self, chunk: str) -> None:
         """Cancel the streams of a chunk whose job was cancelled."""
@@ -143,7 +143,7 @@
             self._pause(stream)
         self.paused = [stream for stream in self.paused if stream.item.chunk != chunk]
 
-    def list_held(self) -> dict[str, list[int]]:
+    def list_items_by_chunk(self) -> dict[str, list[int]]:
         """Return the items this dispatcher works on, by chunk."""
         held: defaultdict[str, list[int]] = defaultdict(list)
         for stream in (*self.running, *self.paused):
@@ -154,11 +154,11 @@
     def _limit(self) -> int:
         return self.allowance.limit
 
-    def _is_proving(self) -> bool:
+    def _is_suspect_running(self) -> bool:
         return any(stream.item.suspect for stream in self.running)
 
     def _enforce(self) -> None:
-        # Youngest first: it has the least prefill and text to lose.
+        # The newest stream first: it loses the least prefill and text.
         while len(self.running) > self.allowance.bound:
             self._pause(self.running[-1])
 
@@ -175,33 +175,33 @@
     async def _async_cancel(self, request_id: str) -> None:
         await self._core.upstreams.engines.async_cancel(self.upstream, request_id)
 
-    async def _async_pull(self, free: int) -> None:
+    async def _async_request_items(self, free: int) -> None:
         found = False
         try:
-            # Every other pull, so that suspects never hold the rest up.
+            # Only every other request, so that suspects never delay the other items.
             self._suspect_turn = not self._suspect_turn
             started = all(stream.last_index >= 0 for stream in self.running)
             suspect_wanted = self._suspect_turn and started
             for model in self.upstream.served_names:
-                limit = min(free, LOT_ITEMS)
+                limit = min(free, ASSIGNMENT_ITEMS)
                 request = LotRequest(model, limit, suspect_wanted)
                 items = await self._source.async_request(request)
                 for item in items:
                     if self.draining:
-                        # Asked for before the VM began to leave.
+                        # Requested before the drain began.
                         self._report(item, Verdict.NOT_RUN)
                         continue
                     self._start(ItemStream(item, self._core.clock, self._core.clock.now()))
                 found = found or bool(items)
                 free -= len(items)
-                if free <= 0 or self._is_proving():
+                if free <= 0 or self._is_suspect_running():
                     return
         finally:
-            self._pulling = False
-            # Streams of one lot end together: the first end asks for one item only, and the
-            # slots of the others would stand idle until the next tick.
+            self._requesting = False
+            # Streams of one assignment end together. The first end requests one item only, and
+            # without another request the other slots would be idle until the next tick.
             if found:
-                self._pull()
+                self._request_items()
 
     def _start(self, stream: ItemStream) -> None:
         self.running.append(stream)
@@ -209,29 +209,29 @@
         stream.task = asyncio.ensure_future(self._async_run(stream))
 
     async def _async_run(self, stream: ItemStream) -> None:
-        outcome = await self._async_follow(stream)
+        outcome = await self._async_generate(stream)
         if stream not in self.running:
             return
-        verdict = self._judge(stream, outcome)
+        verdict = self._classify(stream, outcome)
         self.running.remove(stream)
         if isinstance(outcome, Ok):
             self._report(stream.item, verdict, 200, stream.make_answer())
         else:
             error = outcome.err_value
             self._report(stream.item, verdict, error.status, error.body)
-        if self._core.clock.now() >= self._blocked_until and not self._is_proving():
+        if self._core.clock.now() >= self._blocked_until and not self._is_suspect_running():
             self._fill()
 
-    async def _async_follow(self, stream: ItemStream) -> Result[GenerateEnd, UpstreamError]:
-        """Return how a run ended; a silent connection is opened anew and joins it."""
+    async def _async_generate(self, stream: ItemStream) -> Result[GenerateEnd, UpstreamError]:
+        """Return how a run ended; after a silent connection, reconnect to the same run."""
         stream.begin()
         while True:
             call = stream.make_call()
             outcome = await self._core.upstreams.engines.async_generate(self.upstream, call, stream)
             if isinstance(outcome, Ok) or outcome.err_value.failure is not UpstreamFailure.SILENT:
                 return outcome
-            # Shows as items failed that nothing is wrong with: an engine that is slow, or kept by
-            # online work, is silent too, and each run given up for that counts as a try.
+            # A slow engine, or one busy with online work, is silent too. Each run given up for that
+            # counts as a try, and good items would end as failed.
             if not stream.left_ms:
                 return outcome
 
@@ -239,22 +239,22 @@
         self.allowance.observe_first_token(wait_ms, len(self.running))
         self._enforce()
 
-    def _judge(self, stream: ItemStream, outcome: Result[GenerateEnd, UpstreamError]) -> Verdict:
+    def _classify(self, stream: ItemStream, outcome: Result[GenerateEnd, UpstreamError]) -> Verdict:
         if isinstance(outcome, Ok):
             return Verdict.DONE
         verdict = _FAILURES.get(outcome.err_value.failure, Verdict.FAILED)
         now = self._core.clock.now()
         if verdict in (Verdict.NOT_RUN, Verdict.CRASHED):
-            self._blocked_until = Millis(now + BACK_OFF_MS)
+            self._blocked_until = Millis(now + BACKOFF_MS)
         if verdict != Verdict.CRASHED:
             return verdict
         if stream.item.suspect:
             self._suspect_lost_at = now
             return Verdict.CRASHED
-        # A crash beside a known suspect is held to be the suspect's: the others run again
-        # without a mark, or one poison item would put every neighbour under suspicion each time.
+        # A crash beside a known suspect is attributed to the suspect; the other items run again
+        # unmarked, or one poison item would make all items beside it suspects at each crash.
         recent = self._suspect_lost_at is not None and now - self._suspect_lost_at < CRASH_WINDOW_MS
-        return Verdict.BYSTANDER if recent or self._is_proving() else Verdict.CRASHED
+        return Verdict.BYSTANDER if recent or self._is_suspect_running() else Verdict.CRASHED
 
     def _report(self, item: LotItem, verdict: Verdict, status: int = 0, body: bytes = b"") -> None:
         self._outbox.put(item.chunk, ItemResult(item.index, verdict, status, body))
--- a/goldcreststair/components/batch/outbox.py
+++ b/goldcreststair/components/batch/outbox.py
@@ -1,4 +1,4 @@
-"""Results on their way to the owners of their chunks; offered until acknowledged."""
+"""Results to be sent to the owners of their chunks; sent again until acknowledged."""
 
 from collections.abc import Container
 from dataclasses import dataclass, field
@@ -10,62 +10,64 @@
 
 
 @dataclass(slots=True)
-class _Parcel:
+class _PendingResults:
     since: Millis
     results: list[ItemResult] = field(default_factory=list)
     sending: bool = False
 
 
 class Outbox:
-    """One parcel a chunk."""
+    """Collects unacknowledged results by chunk."""
 
     def __init__(self, clock: Clock, directory: Directory) -> None:
-        """Start empty."""
+        """Create empty."""
         self._clock = clock
         self._directory = directory
-        self._parcels: dict[str, _Parcel] = {}
-        self.givers: dict[str, str] = {}
-        """Chunk to the session that gave its items out last."""
+        self._pending: dict[str, _PendingResults] = {}
+        self.assigners: dict[str, str] = {}
+        """Chunk to the session that assigned its items last."""
 
     def put(self, chunk: str, result: ItemResult) -> None:
         """Add a result."""
-        parcel = self._parcels.setdefault(chunk, _Parcel(self._clock.now()))
-        parcel.results.append(result)
+        pending = self._pending.setdefault(chunk, _PendingResults(self._clock.now()))
+        pending.results.append(result)
 
     def list_unsent(self) -> list[str]:
-        """Return the chunks whose results are not under way."""
-        return [key for key, parcel in self._parcels.items() if not parcel.sending]
+        """Return the chunks whose results are not being sent."""
+        return [key for key, pending in self._pending.items() if not pending.sending]
 
-    def list_held(self, chunk: str) -> list[int]:
+    def list_indexes(self, chunk: str) -> list[int]:
         """Return the items of a chunk whose results are not acknowledged."""
-        parcel = self._parcels.get(chunk)
-        return [result.index for result in parcel.results] if parcel else []
+        pending = self._pending.get(chunk)
+        return [result.index for result in pending.results] if pending else []
 
     def list_chunks(self) -> list[str]:
         """Return the chunks with results here."""
-        return list(self._parcels)
+        return list(self._pending)
 
-    def forget(self, held: Container[str]) -> None:
-        """Drop the givers of chunks no item of which is held here."""
-        self.givers = {chunk: giver for chunk, giver in self.givers.items() if chunk in held}
+    def keep_assigners(self, held: Container[str]) -> None:
+        """Drop the assigners of chunks that are not in `held`, as no item of them is here."""
+        self.assigners = {
+            chunk: assigner for chunk, assigner in self.assigners.items() if chunk in held
+        }
 
     async def async_send(self, chunk: str) -> None:
-        """Offer the results of one chunk to its owner once."""
-        parcel = self._parcels[chunk]
-        parcel.sending = True
-        sent = list(parcel.results)
+        """Send the results of one chunk to its owner once."""
+        pending = self._pending[chunk]
+        pending.sending = True
+        sent = list(pending.results)
         try:
-            # The giver first: this VM may be a stale owner of the chunk that was not told yet,
-            # and would take the results to itself, where their commit is refused.
-            giver = self.givers.get(chunk)
-            reply = await self._directory.async_ask(chunk, LotResult(chunk, sent), giver)
+            # The assigner first: this VM may be a former owner of the chunk that does not know of
+            # its loss yet; it would accept the results itself, and their commit would be refused.
+            assigner = self.assigners.get(chunk)
+            reply = await self._directory.async_ask(chunk, LotResult(chunk, sent), assigner)
         finally:
-            parcel.sending = False
-        # An owner that lost the answer gets all again and ignores what it has; one that changed
-        # is found by the chunk's key, so work survives the loss of the VM that gave it out.
-        late = self._clock.now() - parcel.since > RESULT_KEEP_MS
-        if reply.status in (ReplyStatus.OK, ReplyStatus.MISSING) or late:
-            parcel.results = parcel.results[len(sent) :]
-            parcel.since = self._clock.now()
-        if not parcel.results:
-            self._parcels.pop(chunk, None)
+            pending.sending = False
+        # If the reply was lost, the owner gets all results again and ignores known ones. A new
+        # owner is found by the chunk's key, so results survive the loss of the assigning VM.
+        is_expired = self._clock.now() - pending.since > RESULT_KEEP_MS
+        if reply.status in (ReplyStatus.OK, ReplyStatus.MISSING) or is_expired:
+            pending.results = pending.results[len(sent) :]
+            pending.since = self._clock.now()
+        if not pending.results:
+            self._pending.pop(chunk, None)
--- a/goldcreststair/components/batch/service.py
+++ b/goldcreststair/components/batch/service.py
@@ -92,7 +92,7 @@
         self._ledger.watch(self.chunk_owner.on_gained, self.chunk_owner.on_lost)
         self._ledger.watch(self._sweeper.on_gained, self._sweeper.on_lost)
         self._unsubscribe = core.blackboard.subscribe(
-            ONLINE_PRESSURE, self.dispatchers.take_pressure
+            ONLINE_PRESSURE, self.dispatchers.apply_pressure
         )
 
     async def async_start(self) -> None:
@@ -165,7 +165,7 @@
             advert = BacklogAdvert(model, items)
             for session in self._choose_dispatchers(model):
                 if session == self._core.session_id:
-                    self.dispatchers.take_advert(session, advert)
+                    self.dispatchers.apply_advert(session, advert)
                 else:
                     self.directory.post(session, advert)
 
@@ -247,7 +247,7 @@
         self.chunk_owner.check_job(message.job)
 
     async def _async_on_advert(self, sender: str, message: BacklogAdvert) -> None:
-        self.dispatchers.take_advert(sender, message)
+        self.dispatchers.apply_advert(sender, message)
 
     async def _async_on_lot_request(self, sender: str, message: LotRequest) -> Lot:
         return self.chunk_owner.give(sender, message)
@@ -273,7 +273,7 @@
         return Reply(status=ReplyStatus.OK)
 
     async def _async_on_hint(self, sender: str, message: YieldHint) -> None:
-        self.dispatchers.take_hint(sender, message)
+        self.dispatchers.apply_hint(sender, message)
 
 
 def _turn_error(error: LedgerError) -> Reply:
