--- a/tests/helpers/batch_fleet.py
+++ b/tests/helpers/batch_fleet.py
@@ -9,12 +9,12 @@
 
 from goldcreststair.clock import Clock
 from goldcreststair.components import configuration, keys
+from goldcreststair.components.batch.dispatchers import MakeAllowance, make_upstream_key
 from goldcreststair.components.batch.errors import BatchError
 from goldcreststair.components.batch.models import Manifest
 from goldcreststair.components.batch.parsing import Defaults
 from goldcreststair.components.batch.records import decode_chunk
 from goldcreststair.components.batch.service import BATCH, BatchService
-from goldcreststair.components.batch.stewards import MakeAllowance, make_upstream_key
 from goldcreststair.components.batch.submission import SubmitOptions
 from goldcreststair.components.batch.views import describe_result
 from goldcreststair.components.configuration.controller import CONFIGURATION_FOLLOWER
@@ -101,12 +101,12 @@
         self.network.kill(session_id)
         service = self.services.pop(session_id)
         self.world.ledgers.pop(session_id)
-        keeper, stewards = service.keeper, service.stewards
-        running = [*keeper._tasks, *keeper._jobs._tasks, *stewards._tasks]
+        keeper, stewards = service.chunk_owner, service.dispatchers
+        running = [*keeper._tasks, *keeper._job_monitor._tasks, *stewards._tasks]
         for task in [service._ticking, *running]:
             if task is not None:
                 task.cancel()
-        for steward in service.stewards.by_name.values():
+        for steward in service.dispatchers.by_name.values():
             for stream in steward.running:
                 assert stream.task is not None
                 stream.task.cancel()
