--- a/standins/worth/__init__.py
+++ b/standins/worth/__init__.py
@@ -1,1 +1,1 @@
-"""Says where worth goes on a played day: from the daemons' logs, and from the day's report."""
+"""Analyses how the worth of a replayed day was lost, from the daemons' logs and the day's report."""
--- a/standins/worth/__main__.py
+++ b/standins/worth/__main__.py
@@ -1,4 +1,4 @@
-"""Prints where worth went on a played day; `script/worth --help` lists the flags."""
+"""Prints how the worth of a replayed day was lost; `script/worth --help` lists the flags."""
 
 import sys
 from collections.abc import Iterator, Sequence
@@ -11,17 +11,17 @@
 
 from goldcreststair.cli.stories import LogLine, read_lines
 from goldcreststair.const import MS_PER_SECOND
-from standins.worth.jobs import JobStory, collect_jobs
+from standins.worth.jobs import JobProgress, collect_jobs
 from standins.worth.plot import draw_slots
 from standins.worth.refusals import group_refusals
 from standins.worth.report import Row, read_report
-from standins.worth.runs import Run, Use, collect_runs
-from standins.worth.slots import SlotSecond, count_seconds, sum_uses
+from standins.worth.runs import Run, SlotUse, collect_runs
+from standins.worth.slots import SlotSecond, build_seconds, sum_uses
 
-app = cyclopts.App(help="Say where the worth of a played day went.")
-ONLINE = (Use.ONLINE, Use.ONLINE_AGAIN)
-BATCH = (Use.BATCH_DONE, Use.BATCH_KEPT, Use.OPEN)
-WASTED = (Use.BATCH_DONE_LATE, Use.BATCH_ENDED, Use.BATCH_FAILED, Use.LOST)
+app = cyclopts.App(help="Analyse how the worth of a replayed day was lost.")
+ONLINE = (SlotUse.ONLINE, SlotUse.ONLINE_AGAIN)
+BATCH = (SlotUse.BATCH_DONE, SlotUse.BATCH_KEPT, SlotUse.OPEN)
+WASTED = (SlotUse.BATCH_DONE_LATE, SlotUse.BATCH_ENDED, SlotUse.BATCH_FAILED, SlotUse.LOST)
 
 
 @app.default
@@ -31,7 +31,10 @@
     plot: Path | None = None,
     seconds: Annotated[bool, Parameter(help="Print every second.")] = False,
 ) -> int:
-    """Read the daemons' logs, and the day's report if there is one."""
+    """Print the tables of the daemons' logs and, if given, of the day's report.
+
+    Returns 1 if a file can't be used.
+    """
     lines = list(_read_all(logs))
     if not lines:
         print("logs: no line of a daemon's log in any of these files", file=sys.stderr)
@@ -44,7 +47,7 @@
         for name, rows in found.ok_value.items():
             _print_rows(name, rows)
     runs = collect_runs(lines)
-    by_second = count_seconds(lines, runs)
+    by_second = build_seconds(lines, runs)
     _print_uses(runs, by_second)
     if seconds:
         _print_seconds(by_second)
@@ -75,30 +78,30 @@
     slots = sum(second.slots for second in by_second)
     total = sum_uses(runs)
     print(f"{'slot-seconds':30s} {slots:7.0f}")
-    for use in Use:
+    for use in SlotUse:
         held = total[use] / MS_PER_SECOND
         count = sum(run.use is use for run in runs)
         print(f"{use.value:30s} {held:7.1f} {held / max(1, slots):6.1%} {count:5d} runs")
-    idle = sum(max(0.0, s.slots - s.read_held(*Use)) for s in by_second if s.waiting)
+    idle = sum(max(0.0, s.slots - s.mean_slots(*SlotUse)) for s in by_second if s.waiting)
     print(f"{'idle while items waited':30s} {idle:7.1f} {idle / max(1, slots):6.1%}\n")
 
 
 def _print_seconds(by_second: Sequence[SlotSecond]) -> None:
     print("second slots online  batch wasted   idle waiting")
     for second in by_second:
-        idle = max(0.0, second.slots - second.read_held(*Use))
+        idle = max(0.0, second.slots - second.mean_slots(*SlotUse))
         print(
-            f"{second.at_s:6d} {second.slots:5d} {second.read_held(*ONLINE):6.1f} "
-            f"{second.read_held(*BATCH):6.1f} {second.read_held(*WASTED):6.1f} {idle:6.1f} "
+            f"{second.at_s:6d} {second.slots:5d} {second.mean_slots(*ONLINE):6.1f} "
+            f"{second.mean_slots(*BATCH):6.1f} {second.mean_slots(*WASTED):6.1f} {idle:6.1f} "
             f"{second.waiting:7d}"
         )
     print()
 
 
-def _print_jobs(jobs: Sequence[JobStory]) -> None:
+def _print_jobs(jobs: Sequence[JobProgress]) -> None:
     print("job              items in time late not done starts owners first start after s")
     for job in jobs:
-        waited = "never" if job.waited_s is None else f"{job.waited_s:.1f}"
+        waited = "never" if job.start_delay_s is None else f"{job.start_delay_s:.1f}"
         note = " ended by its caller" if job.ended else ""
         print(
             f"{job.job:16s} {job.items:5d} {job.in_time:7d} {job.late:4d} {job.not_done:8d} "
--- a/standins/worth/jobs.py
+++ b/standins/worth/jobs.py
@@ -1,4 +1,4 @@
-"""What became of each batch job, from the daemons' logs."""
+"""Progress and results of each batch job, from the daemons' logs."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -8,8 +8,8 @@
 
 
 @dataclass(slots=True)
-class JobStory:
-    """One job."""
+class JobProgress:
+    """What the logs report of one job."""
 
     job: str
     accepted_ms: int
@@ -20,14 +20,14 @@
     in_time: int = 0
     late: int = 0
     owners: int = 1
-    """Daemons that ran it one after the other."""
+    """Daemons that owned it, one after another."""
     ended: bool = False
-    """Whether its caller ended it."""
+    """Whether its caller cancelled it."""
     _done: set[str] = field(default_factory=set)
 
     @property
-    def waited_s(self) -> float | None:
-        """Time from its acceptance to the start of its first item."""
+    def start_delay_s(self) -> float | None:
+        """Seconds from its acceptance to the start of its first item; None before that start."""
         if self.first_start_ms is None:
             return None
         return (self.first_start_ms - self.accepted_ms) / MS_PER_SECOND
@@ -37,8 +37,8 @@
         """Items without a result."""
         return max(0, self.items - self.in_time - self.late)
 
-    def take(self, line: LogLine) -> None:
-        """Take one of its lines."""
+    def record_line(self, line: LogLine) -> None:
+        """Apply one of its log lines, in order of time."""
         if "due_in_ms" in line.seen:
             self.due_ms = line.at_ms + int(line.seen["due_in_ms"])
         if line.event == "Job taken over":
@@ -49,19 +49,19 @@
             self.starts += 1
             self.first_start_ms = self.first_start_ms or line.at_ms
         elif line.event == "Item done" and line.seen["item"] not in self._done:
-            # Done twice by two owners, it counts when it was first done.
+            # If two owners completed the item, the first completion counts.
             self._done.add(str(line.seen["item"]))
             self.in_time += line.at_ms <= self.due_ms
             self.late += line.at_ms > self.due_ms
 
 
-def collect_jobs(lines: Iterable[LogLine]) -> list[JobStory]:
-    """Return the jobs that were accepted, in order."""
-    jobs: dict[str, JobStory] = {}
+def collect_jobs(lines: Iterable[LogLine]) -> list[JobProgress]:
+    """Return the accepted jobs in the order of their acceptance."""
+    jobs: dict[str, JobProgress] = {}
     for line in sorted(lines, key=lambda line: line.at_ms):
         job = str(line.seen.get("job", ""))
         if line.event == "Job accepted" and job not in jobs:
-            jobs[job] = JobStory(job, line.at_ms, int(line.seen.get("items", 0)))
+            jobs[job] = JobProgress(job, line.at_ms, int(line.seen.get("items", 0)))
         elif job in jobs:
-            jobs[job].take(line)
+            jobs[job].record_line(line)
     return list(jobs.values())
--- a/standins/worth/refusals.py
+++ b/standins/worth/refusals.py
@@ -1,4 +1,4 @@
-"""Who was turned away, why, and when they were told to come back."""
+"""Refused requests by code, with the retry time that they were given."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -14,9 +14,9 @@
     code: str
     count: int
     cut: int
-    """Streams that broke off, among them."""
+    """How many of them were streams that were cut off."""
     retry_ms: float
-    """Median of the times to come back."""
+    """Median of `Retry-After`, in milliseconds."""
 
 
 def group_refusals(lines: Iterable[LogLine]) -> list[RefusalGroup]:
--- a/standins/worth/report.py
+++ b/standins/worth/report.py
@@ -1,4 +1,4 @@
-"""The tables of a day's report: who earned how much of what was owed."""
+"""Reads the tables of a day's report: the worth earned and the worth possible, by row."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -10,17 +10,17 @@
 from goldcreststair.errors import GoldcreststairError
 
 TABLES: Final = {"kinds": "classes", "data centres": "zones", "seconds": "windows"}
-"""The report's names of its tables."""
+"""Printed table name -> key in the report."""
 
 
 @dataclass(frozen=True, slots=True)
-class ReportUnreadable(GoldcreststairError):
-    """A report that does not read as one; the message names the field."""
+class ReportError(GoldcreststairError):
+    """A report that cannot be read; the message names the file and the cause."""
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One kind of request, data centre or stretch of time."""
+    """Figures of one kind of request, data centre or time window."""
 
     name: str
     asked: int
@@ -29,16 +29,16 @@
     refused: int
     failed: int
     worth: float
-    """Share of what was owed."""
+    """Share of the worth possible, 0 to 1."""
 
 
-def read_report(path: Path) -> Result[dict[str, list[Row]], ReportUnreadable]:
-    """Return the tables of a report by name."""
+def read_report(path: Path) -> Result[dict[str, list[Row]], ReportError]:
+    """Return the tables of a report by printed name."""
     try:
         raw = orjson.loads(path.read_bytes())
         return Ok({name: [_read_row(row) for row in raw[key]] for name, key in TABLES.items()})
     except (OSError, orjson.JSONDecodeError, KeyError, TypeError) as error:
-        return Err(ReportUnreadable(f"{path}: {error!r}"))
+        return Err(ReportError(f"{path}: {error!r}"))
 
 
 def _read_row(raw: dict[str, Any]) -> Row:
--- a/standins/worth/runs.py
+++ b/standins/worth/runs.py
@@ -1,4 +1,4 @@
-"""Runs at upstreams, from the daemons' logs: when each held its slot, and what became of it."""
+"""Runs at upstreams, from the daemons' logs: when each held its slot, and how it ended."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 from goldcreststair.cli.stories import LogLine
 
 
-class Use(StrEnum):
+class SlotUse(StrEnum):
     """What a run's slot was held for."""
 
     ONLINE = "online"
@@ -16,7 +16,7 @@
     BATCH_DONE = "batch, done in time"
     BATCH_DONE_LATE = "batch, done late"
     BATCH_KEPT = "batch, gave way or moved"
-    """Its item goes on after what the run had brought."""
+    """Its item continues after the output that the run produced."""
     BATCH_ENDED = "batch, job ended by its caller"
     BATCH_FAILED = "batch, failed"
     LOST = "lost with its VM"
@@ -25,20 +25,20 @@
 
 _STARTS: Final = ("Request placed", "Item started")
 _ENDS: Final = {
-    "Request answered": Use.ONLINE,
-    "Request refused": Use.ONLINE,
-    "Request given up": Use.ONLINE,
-    "Request runs elsewhere": Use.ONLINE_AGAIN,
-    "Request goes back": Use.ONLINE_AGAIN,
-    "Item yielded": Use.BATCH_KEPT,
-    "Item stopped": Use.BATCH_KEPT,
-    "Item runs again": Use.BATCH_FAILED,
-    "Item given up": Use.BATCH_FAILED,
-    "Item done": Use.BATCH_DONE,
+    "Request answered": SlotUse.ONLINE,
+    "Request refused": SlotUse.ONLINE,
+    "Request given up": SlotUse.ONLINE,
+    "Request runs elsewhere": SlotUse.ONLINE_AGAIN,
+    "Request goes back": SlotUse.ONLINE_AGAIN,
+    "Item yielded": SlotUse.BATCH_KEPT,
+    "Item stopped": SlotUse.BATCH_KEPT,
+    "Item runs again": SlotUse.BATCH_FAILED,
+    "Item given up": SlotUse.BATCH_FAILED,
+    "Item done": SlotUse.BATCH_DONE,
 }
 _VM_ENDS: Final = ("Started", "Stopped")
-ENDED: Final = "ended"
-"""Reason of a stopped item whose job its caller ended."""
+JOB_ENDED_REASON: Final = "ended"
+"""Logged reason of a stopped item whose job was cancelled by its caller."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,15 +48,15 @@
     began_ms: int
     ended_ms: int
     upstream: str
-    use: Use
+    use: SlotUse
 
     def overlap_ms(self, begin_ms: int, end_ms: int) -> int:
-        """Return for how much of a time it held its slot."""
+        """Return how many milliseconds of an interval it held its slot."""
         return max(0, min(self.ended_ms, end_ms) - max(self.began_ms, begin_ms))
 
 
 def collect_runs(lines: Iterable[LogLine]) -> list[Run]:
-    """Return all runs that the logs show, in the order of their ends."""
+    """Return all runs in the logs, in the order of their ends; open runs come last."""
     ordered = sorted(lines, key=lambda line: line.at_ms)
     open_runs: dict[tuple[str, str], LogLine] = {}
     runs: list[Run] = []
@@ -64,28 +64,28 @@
         subject = str(line.seen.get("item") or line.seen.get("request") or "")
         key = (line.vm, subject)
         if line.event in _VM_ENDS:
-            # A process that starts has lost what the one before it ran.
+            # The previous process of this VM has ended, and its open runs with it.
             for lost in [key for key in open_runs if key[0] == line.vm]:
-                runs.append(_close(open_runs.pop(lost), line.at_ms, Use.LOST))
+                runs.append(_make_run(open_runs.pop(lost), line.at_ms, SlotUse.LOST))
         elif line.event in _ENDS and key in open_runs:
-            runs.append(_close(open_runs.pop(key), line.at_ms, _judge(line)))
+            runs.append(_make_run(open_runs.pop(key), line.at_ms, _classify(line)))
         if line.event in _STARTS:
             open_runs[key] = line
     end_ms = ordered[-1].at_ms if ordered else 0
-    return runs + [_close(line, end_ms, Use.OPEN) for line in open_runs.values()]
+    return runs + [_make_run(line, end_ms, SlotUse.OPEN) for line in open_runs.values()]
 
 
-def _judge(line: LogLine) -> Use:
+def _classify(line: LogLine) -> SlotUse:
     use = _ENDS[line.event]
-    if use is Use.BATCH_DONE and line.seen.get("due_in_ms", 0) < 0:
-        return Use.BATCH_DONE_LATE
-    if use is Use.BATCH_KEPT and line.seen.get("reason") == ENDED:
-        return Use.BATCH_ENDED
+    if use is SlotUse.BATCH_DONE and line.seen.get("due_in_ms", 0) < 0:
+        return SlotUse.BATCH_DONE_LATE
+    if use is SlotUse.BATCH_KEPT and line.seen.get("reason") == JOB_ENDED_REASON:
+        return SlotUse.BATCH_ENDED
     return use
 
 
-def _close(began: LogLine, ended_ms: int, use: Use) -> Run:
-    # The end of a request may be missing, left out by sampling: it lasted no longer than its time.
-    if "left_ms" in began.seen:
-        ended_ms = min(ended_ms, began.at_ms + int(began.seen["left_ms"]))
-    return Run(began.at_ms, ended_ms, str(began.seen.get("upstream", "")), use)
+def _make_run(start: LogLine, ended_ms: int, use: SlotUse) -> Run:
+    # Sampling may have dropped the line of a request's end: it lasted at most its time limit.
+    if "left_ms" in start.seen:
+        ended_ms = min(ended_ms, start.at_ms + int(start.seen["left_ms"]))
+    return Run(start.at_ms, ended_ms, str(start.seen.get("upstream", "")), use)
--- a/standins/worth/slots.py
+++ b/standins/worth/slots.py
@@ -1,4 +1,4 @@
-"""How many slots the upstreams had, second by second, and what held them."""
+"""Counts the upstreams' slots and their use per second."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -7,38 +7,38 @@
 
 from goldcreststair.cli.stories import LogLine
 from goldcreststair.const import MS_PER_SECOND
-from standins.worth.runs import Run, Use
+from standins.worth.runs import Run, SlotUse
 
 DEFAULT_SLOTS: Final = 8
-"""For upstreams whose lines name none."""
+"""Slots of upstreams whose log lines state no number."""
 
 
 @dataclass(frozen=True, slots=True)
 class SlotSecond:
-    """One second of all upstreams."""
+    """Figures of one second over all upstreams."""
 
     at_s: int
-    """Since the first run."""
+    """Seconds since the first run."""
     slots: int
-    """Of the upstreams that could take work at its begin."""
-    held: Counter[Use]
+    """Slots of the upstreams that accepted work at the start of the second."""
+    held: Counter[SlotUse]
     """Slot-milliseconds by use."""
     waiting: int = 0
-    """Items of accepted jobs that were neither done nor running at its begin."""
+    """Items of accepted jobs that were neither done nor running at the start of the second."""
 
-    def read_held(self, *uses: Use) -> float:
-        """Return the mean of the slots held for these uses."""
+    def mean_slots(self, *uses: SlotUse) -> float:
+        """Return the mean number of slots held for these uses."""
         return sum(self.held[use] for use in uses) / MS_PER_SECOND
 
 
-def count_seconds(lines: Sequence[LogLine], runs: Sequence[Run]) -> list[SlotSecond]:
-    """Return every second from the first run to the last."""
+def build_seconds(lines: Sequence[LogLine], runs: Sequence[Run]) -> list[SlotSecond]:
+    """Return each second from the start of the first run to the end of the last."""
     if not runs:
         return []
     first, last = min(r.began_ms for r in runs), max(r.ended_ms for r in runs)
     seconds = []
     for begin in range(first, last, MS_PER_SECOND):
-        held: Counter[Use] = Counter()
+        held: Counter[SlotUse] = Counter()
         for run in runs:
             held[run.use] += run.overlap_ms(begin, begin + MS_PER_SECOND)
         number = (begin - first) // MS_PER_SECOND
@@ -47,9 +47,9 @@
     return seconds
 
 
-def sum_uses(runs: Iterable[Run]) -> Counter[Use]:
+def sum_uses(runs: Iterable[Run]) -> Counter[SlotUse]:
     """Return slot-milliseconds by use over the whole day."""
-    total: Counter[Use] = Counter()
+    total: Counter[SlotUse] = Counter()
     for run in runs:
         total[run.use] += run.ended_ms - run.began_ms
     return total
@@ -60,7 +60,7 @@
     for line in lines:
         if line.at_ms <= at_ms and line.event == "Upstreams known":
             known: dict[str, int] = line.seen.get("slots_by_upstream") or {}
-            # Others that start later know no more of an upstream than that it was there before.
+            # The list of a daemon that starts later must not override what was logged since.
             slots = {name: found or DEFAULT_SLOTS for name, found in known.items()} | slots
         name = str(line.seen.get("upstream", ""))
         if line.at_ms > at_ms or not name:
@@ -92,6 +92,6 @@
     for job, size in sizes.items():
         if job not in ended:
             accepted, done = accepted + size, done + min(size, finished[job])
-    online = (Use.ONLINE, Use.ONLINE_AGAIN)
+    online = (SlotUse.ONLINE, SlotUse.ONLINE_AGAIN)
     running = sum(r.began_ms <= at_ms < r.ended_ms and r.use not in online for r in runs)
     return max(0, accepted - done - running)
--- a/tests/worth/test_worth.py
+++ b/tests/worth/test_worth.py
@@ -1,4 +1,4 @@
-"""Where worth goes, from small logs."""
+"""The analysis of lost worth, from short logs."""
 
 from pathlib import Path
 from typing import Any
@@ -10,8 +10,8 @@
 from standins.worth.__main__ import main
 from standins.worth.jobs import collect_jobs
 from standins.worth.refusals import group_refusals
-from standins.worth.runs import Use, collect_runs
-from standins.worth.slots import DEFAULT_SLOTS, count_seconds
+from standins.worth.runs import SlotUse, collect_runs
+from standins.worth.slots import DEFAULT_SLOTS, build_seconds
 
 
 def make_line(at_ms: int, event: str, vm: str = "v1", **seen: Any) -> LogLine:
@@ -27,19 +27,19 @@
 @pytest.mark.parametrize(
     ("ending", "use"),
     [
-        (make_line(900, "Item done", job="j", item="i1", due_in_ms=10), Use.BATCH_DONE),
-        (make_line(900, "Item done", job="j", item="i1", due_in_ms=-1), Use.BATCH_DONE_LATE),
-        (make_line(900, "Item yielded", job="j", item="i1"), Use.BATCH_KEPT),
-        (make_line(900, "Item stopped", job="j", item="i1", reason="ended"), Use.BATCH_ENDED),
-        (make_line(900, "Item stopped", job="j", item="i1", reason="moved"), Use.BATCH_KEPT),
-        (make_line(900, "Item runs again", job="j", item="i1"), Use.BATCH_FAILED),
-        # Its process ended without a word, and the next one starts at the same VM.
-        (make_line(900, "Started"), Use.LOST),
-        # Another VM's line about the same item says nothing of this run.
-        (make_line(900, "Item done", "v2", job="j", item="i1", due_in_ms=10), Use.OPEN),
+        (make_line(900, "Item done", job="j", item="i1", due_in_ms=10), SlotUse.BATCH_DONE),
+        (make_line(900, "Item done", job="j", item="i1", due_in_ms=-1), SlotUse.BATCH_DONE_LATE),
+        (make_line(900, "Item yielded", job="j", item="i1"), SlotUse.BATCH_KEPT),
+        (make_line(900, "Item stopped", job="j", item="i1", reason="ended"), SlotUse.BATCH_ENDED),
+        (make_line(900, "Item stopped", job="j", item="i1", reason="moved"), SlotUse.BATCH_KEPT),
+        (make_line(900, "Item runs again", job="j", item="i1"), SlotUse.BATCH_FAILED),
+        # The process ended without logging it, and the next one starts on the same VM.
+        (make_line(900, "Started"), SlotUse.LOST),
+        # Another VM's line about the same item does not end this run.
+        (make_line(900, "Item done", "v2", job="j", item="i1", due_in_ms=10), SlotUse.OPEN),
     ],
 )
-def test_a_run_ends_as_its_vm_says(ending: LogLine, use: Use) -> None:
+def test_run_use_follows_ending_line_of_its_vm(ending: LogLine, use: SlotUse) -> None:
     (run,) = collect_runs([ending, start(100)])
     assert (run.began_ms, run.ended_ms, run.use) == (100, 900, use)
 
@@ -55,14 +55,14 @@
         make_line(1_500, "Upstream changed", upstream="e", slots=4, draining=True),
         make_line(2_500, "Item done", job="j", item="i1", due_in_ms=10),
     ]
-    seconds = count_seconds(lines, collect_runs(lines))
+    seconds = build_seconds(lines, collect_runs(lines))
     assert [second.slots for second in seconds] == [4, 4, 0]
-    assert [second.read_held(Use.ONLINE) for second in seconds] == [1.0, 0.5, 0.0]
-    assert [second.read_held(Use.BATCH_DONE) for second in seconds] == [0.5, 1.0, 0.5]
+    assert [second.mean_slots(SlotUse.ONLINE) for second in seconds] == [1.0, 0.5, 0.0]
+    assert [second.mean_slots(SlotUse.BATCH_DONE) for second in seconds] == [0.5, 1.0, 0.5]
     assert [second.waiting for second in seconds] == [3, 2, 2]
 
 
-def test_a_run_that_goes_back_ends_the_one_before() -> None:
+def test_returned_request_ends_first_run() -> None:
     lines = [
         make_line(0, "Request placed", request="r", upstream="e"),
         make_line(500, "Request goes back", request="r"),
@@ -70,11 +70,11 @@
         make_line(1_500, "Request answered", request="r"),
     ]
     uses = [(run.upstream, run.use) for run in collect_runs(lines)]
-    assert uses == [("e", Use.ONLINE_AGAIN), ("f", Use.ONLINE)]
+    assert uses == [("e", SlotUse.ONLINE_AGAIN), ("f", SlotUse.ONLINE)]
 
 
-def test_slots_known_at_a_start_are_counted_once() -> None:
-    """Each daemon lists all upstreams when it starts, one that starts late some that have left since."""
+def test_slots_listed_by_several_daemons_are_counted_once() -> None:
+    """Each daemon lists all upstreams at its start; a late list may name upstreams that left."""
     lines = [
         make_line(0, "Upstreams known", slots_by_upstream={"e": 4, "f": 0}),
         make_line(0, "Upstreams known", "v2", slots_by_upstream={"e": 4, "f": 0}),
@@ -83,11 +83,11 @@
         start(100),
         make_line(1_900, "Item done", job="j", item="i1", due_in_ms=10),
     ]
-    seconds = count_seconds(lines, collect_runs(lines))
+    seconds = build_seconds(lines, collect_runs(lines))
     assert [second.slots for second in seconds] == [4 + DEFAULT_SLOTS, DEFAULT_SLOTS]
 
 
-def test_a_job_counts_each_item_once() -> None:
+def test_job_counts_each_item_once() -> None:
     lines = [
         make_line(0, "Job accepted", job="j", items=3),
         start(1_000),
@@ -99,7 +99,7 @@
     ]
     (job,) = collect_jobs(lines)
     assert (job.in_time, job.late, job.not_done) == (1, 1, 1)
-    assert (job.starts, job.owners, job.waited_s) == (2, 2, 1.0)
+    assert (job.starts, job.owners, job.start_delay_s) == (2, 2, 1.0)
 
 
 def test_refusals_are_grouped_by_code() -> None:
@@ -114,7 +114,7 @@
 
 
 def write_log(path: Path) -> Path:
-    """Write a small log as a process prints it."""
+    """Write a short log in the format that a process prints."""
     line = {"time": "2026-01-01T00:00:00.000Z", "vm": "v1", "event": "Request placed"}
     last = {"time": "2026-01-01T00:00:00.500Z", "vm": "v1", "event": "Request answered"}
     raw = [orjson.dumps({**each, "request": "r"}).decode() for each in (line, last)]
@@ -122,7 +122,7 @@
     return path
 
 
-def test_the_tables_are_printed_and_the_picture_drawn(
+def test_tables_are_printed_and_chart_is_drawn(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     row = {"name": "k", "n": 2, "in_aim": 1, "late": 1, "refused": 0, "failed": 0, "worth": 0.5}
