--- a/goldcreststair/cli/stories.py
+++ b/goldcreststair/cli/log_timeline.py
@@ -56,7 +56,7 @@
 """What each refusal's code means to a caller."""
 
 FIELDS: Final = ("request", "job", "item", "upstream", "session", "customer", "vm")
-"""What a story can be about."""
+"""What a timeline can be about."""
 HIDDEN: Final = frozenset({"time", "level", "vm", "logger", "event", "reason", "exception"})
 
 
@@ -67,19 +67,19 @@
     at_ms: int
     vm: str
     event: str
-    seen: Mapping[str, Any]
+    fields: Mapping[str, Any]
 
     def describe(self) -> str:
         """Return the line for people."""
         at = datetime.fromtimestamp(self.at_ms / 1000).strftime("%H:%M:%S.%f")[:-3]
-        reason = self.seen.get("reason", "")
-        facts = " ".join(f"{k}={v}" for k, v in self.seen.items() if k not in HIDDEN)
+        reason = self.fields.get("reason", "")
+        facts = " ".join(f"{k}={v}" for k, v in self.fields.items() if k not in HIDDEN)
         text = f"{self.event}: {reason}" if reason else self.event
         return f"{at} {self.vm:15s} {text} {facts}".rstrip()
 
 
 @dataclass(slots=True)
-class Story:
+class Timeline:
     """What the logs say of one thing."""
 
     lines: list[LogLine] = field(default_factory=list)
@@ -87,19 +87,19 @@
     left_out: int = 0
     """Lines of the kinds seen that sampling left out."""
 
-    def name_cause(self) -> str:
+    def describe_cause(self) -> str:
         """Return why it ended as it did."""
         if not self.lines:
             return "nothing known: no line names it, or sampling left its lines out"
         last = self.lines[-1]
-        code = str(last.seen.get("code", ""))
+        code = str(last.fields.get("code", ""))
         if last.event == "Request refused":
             cause = CAUSES.get(code, code)
-            if last.seen.get("cut"):
-                cause = f"its stream was cut: {last.seen.get('reason', '')}"
+            if last.fields.get("cut"):
+                cause = f"its stream was cut: {last.fields.get('reason', '')}"
             return f"{cause}{self._name_trigger(last)}"
         if last.event in ("Item given up", "Job not accepted", "Request given up"):
-            return f"{last.seen.get('reason', '')}{self._name_trigger(last)}"
+            return f"{last.fields.get('reason', '')}{self._name_trigger(last)}"
         moved = sum(line.event in MOVES for line in self.lines)
         again = f" after {moved} runs that failed" if moved else ""
         return f"{last.event.lower()}{again}{self._name_trigger(last)}"
@@ -119,38 +119,38 @@
         if start < 0:
             continue
         try:
-            seen = orjson.loads(raw[start:])
-            at = datetime.fromisoformat(seen["time"])
-            yield LogLine(int(at.timestamp() * 1000), seen.get("vm", ""), seen["event"], seen)
+            fields = orjson.loads(raw[start:])
+            at = datetime.fromisoformat(fields["time"])
+            yield LogLine(int(at.timestamp() * 1000), fields.get("vm", ""), fields["event"], fields)
         except (ValueError, KeyError, TypeError):
             # Other programs write to the same files.
             continue
 
 
-def tell_story(lines: Iterable[LogLine], subject: str, subject_id: str) -> Story:
+def build_timeline(lines: Iterable[LogLine], subject: str, subject_id: str) -> Timeline:
     """Return the lines about one thing in order of time, and what led to them."""
     known = sorted(lines, key=lambda line: line.at_ms)
-    story = Story([line for line in known if str(line.seen.get(subject)) == subject_id])
-    if not story.lines:
-        return story
-    begin, end = story.lines[0].at_ms - CONTEXT_MS, story.lines[-1].at_ms
-    vms = {line.vm for line in story.lines}
-    upstreams = {line.seen["upstream"] for line in story.lines if line.seen.get("upstream")}
-    story.left_out = sum(int(line.seen.get("left_out", 0)) for line in story.lines)
+    timeline = Timeline([line for line in known if str(line.fields.get(subject)) == subject_id])
+    if not timeline.lines:
+        return timeline
+    begin, end = timeline.lines[0].at_ms - CONTEXT_MS, timeline.lines[-1].at_ms
+    vms = {line.vm for line in timeline.lines}
+    upstreams = {line.fields["upstream"] for line in timeline.lines if line.fields.get("upstream")}
+    timeline.left_out = sum(int(line.fields.get("left_out", 0)) for line in timeline.lines)
     near = [line for line in known if begin <= line.at_ms <= end and line.event in CONTEXT_EVENTS]
     # All VMs see an upstream change at the same moment: one line tells it.
     told: set[tuple[str, object, bool]] = set()
     for line in sorted(near, key=lambda line: (line.vm not in vms, line.at_ms)):
-        upstream = line.seen.get("upstream")
-        change = (line.event, upstream, bool(line.seen.get("draining")))
+        upstream = line.fields.get("upstream")
+        change = (line.event, upstream, bool(line.fields.get("draining")))
         if upstream in upstreams and change not in told:
             told.add(change)
-            story.context.append(line)
+            timeline.context.append(line)
         elif _is_own(line, vms):
-            story.context.append(line)
-    story.context.sort(key=lambda line: line.at_ms)
-    return story
+            timeline.context.append(line)
+    timeline.context.sort(key=lambda line: line.at_ms)
+    return timeline
 
 
 def _is_own(line: LogLine, vms: set[str]) -> bool:
-    return line.vm in vms and "upstream" not in line.seen
+    return line.vm in vms and "upstream" not in line.fields
--- a/goldcreststair/cli/operator.py
+++ b/goldcreststair/cli/operator.py
@@ -18,7 +18,7 @@
 
 from goldcreststair.cli.burn import render_svg, render_text
 from goldcreststair.cli.client import Call, Client, ClientError
-from goldcreststair.cli.stories import FIELDS, LogLine, read_lines, tell_story
+from goldcreststair.cli.log_timeline import FIELDS, LogLine, build_timeline, read_lines
 from goldcreststair.cli.target import (
     EXIT_FAILED,
     NO_OPERATOR_TARGET,
@@ -179,14 +179,14 @@
         except OSError as error:
             fail(ClientError(f"{log}: {error.strerror}"))
         lines += read_lines(text.splitlines())
-    story = tell_story(lines, subject, subject_id)
-    for line in sorted((*story.context, *story.lines), key=lambda line: line.at_ms):
-        mark = "|" if line in story.context else "*"
+    timeline = build_timeline(lines, subject, subject_id)
+    for line in sorted((*timeline.context, *timeline.lines), key=lambda line: line.at_ms):
+        mark = "|" if line in timeline.context else "*"
         print(f"{mark} {line.describe()}")
-    print(f"cause: {story.name_cause()}")
-    if story.left_out:
-        print(f"sampling left out {story.left_out} lines of these kinds before")
-    if not story.lines:
+    print(f"cause: {timeline.describe_cause()}")
+    if timeline.left_out:
+        print(f"sampling left out {timeline.left_out} lines of these kinds before")
+    if not timeline.lines:
         sys.exit(EXIT_FAILED)
 
 
--- a/goldcreststair/components/caller_api/errors.py
+++ b/goldcreststair/components/caller_api/errors.py
@@ -20,7 +20,7 @@
 }
 
 
-def refuse_key(error: KeyRefused, idempotency_key: str = "") -> Refusal:
+def make_key_refusal(error: KeyRefused, idempotency_key: str = "") -> Refusal:
     """Turn a refused key into a refusal; an earlier send may have run under an idempotency key."""
     refusal = Refusal(error.message, RefusalCode.INVALID_KEY, 401, True)
     if error.temporary:
@@ -28,7 +28,7 @@
     return clear_not_run(refusal) if idempotency_key else refusal
 
 
-def refuse_field(error: BadField) -> Refusal:
+def make_field_refusal(error: BadField) -> Refusal:
     """Turn a field that cannot be read into a refusal."""
     message = f"{error.field}: {error.message}"
     return Refusal(message, RefusalCode.INVALID_REQUEST, 400, True)
--- a/goldcreststair/components/caller_api/handler.py
+++ b/goldcreststair/components/caller_api/handler.py
@@ -11,7 +11,7 @@
 from tornado.web import RequestHandler
 
 from goldcreststair.components.caller_api.const import BEARER
-from goldcreststair.components.caller_api.errors import encode_refusal, refuse_key
+from goldcreststair.components.caller_api.errors import encode_refusal, make_key_refusal
 from goldcreststair.components.keys.protocols import KEYS, Identity
 from goldcreststair.const import (
     HEADER_IDEMPOTENCY_KEY,
@@ -43,7 +43,7 @@
         found = self.core.get(KEYS).identify(self.key)
         if isinstance(found, Err):
             idempotency_key = self.request.headers.get(HEADER_IDEMPOTENCY_KEY, "")
-            self.refuse(refuse_key(found.err_value, idempotency_key))
+            self.refuse(make_key_refusal(found.err_value, idempotency_key))
             return
         self.identity = found.ok_value
 
--- a/goldcreststair/components/caller_api/service_views.py
+++ b/goldcreststair/components/caller_api/service_views.py
@@ -3,7 +3,7 @@
 from result import Err
 from tornado.iostream import StreamClosedError
 
-from goldcreststair.components.caller_api.errors import refuse_field
+from goldcreststair.components.caller_api.errors import make_field_refusal
 from goldcreststair.components.caller_api.handler import CallerHandler
 from goldcreststair.components.caller_api.parsing import (
     BadField,
@@ -35,11 +35,11 @@
             return
         deadline = parse_deadline(self.request.headers)
         if isinstance(deadline, Err):
-            self.refuse(refuse_field(deadline.err_value))
+            self.refuse(make_field_refusal(deadline.err_value))
             return
         for field, content in (("query", self.request.query), ("body", self.request.body)):
             if holds_key(content, self.key):
-                self.refuse(refuse_field(BadField("must not hold the key", field)))
+                self.refuse(make_field_refusal(BadField("must not hold the key", field)))
                 return
         await self.async_follow(self._async_run(self._make_request(route, deadline.ok_value)))
 
--- a/goldcreststair/components/caller_api/views.py
+++ b/goldcreststair/components/caller_api/views.py
@@ -7,7 +7,7 @@
 from tornado.web import RequestHandler
 
 from goldcreststair.components.caller_api.const import KEEP_ALIVE_COMMENT, KEEP_ALIVE_MS
-from goldcreststair.components.caller_api.errors import encode_refusal, refuse_field
+from goldcreststair.components.caller_api.errors import encode_refusal, make_field_refusal
 from goldcreststair.components.caller_api.handler import CallerHandler
 from goldcreststair.components.caller_api.parsing import parse_body, parse_deadline
 from goldcreststair.components.configuration.models import CONFIGURATION
@@ -34,11 +34,11 @@
         """Run one request."""
         deadline = parse_deadline(self.request.headers)
         if isinstance(deadline, Err):
-            self.refuse(refuse_field(deadline.err_value))
+            self.refuse(make_field_refusal(deadline.err_value))
             return
         parsed = parse_body(self.request.path, self.request.body, self.key)
         if isinstance(parsed, Err):
-            self.refuse(refuse_field(parsed.err_value))
+            self.refuse(make_field_refusal(parsed.err_value))
             return
         body = parsed.ok_value
         request = GenerateRequest(
--- a/goldcreststair/components/online/claiming.py
+++ b/goldcreststair/components/online/claiming.py
@@ -68,7 +68,7 @@
             request, min(CLAIM_TIMEOUT_MS, max(1, deadline_at - self._clock.now()))
         )
         if isinstance(claimed, Err):
-            refusal = refuse_claim(claimed.err_value)
+            refusal = make_claim_refusal(claimed.err_value)
             unread = claimed.err_value.problem is ClaimProblem.UNAVAILABLE
             doubtful = unread and request.is_caller_key
             return Err(clear_not_run(refusal) if doubtful else refusal)
@@ -78,7 +78,7 @@
             case Joined() as joined:
                 remaining = max(1, deadline_at - self._clock.now())
                 waited = await self._claims.async_wait(joined, remaining)
-                return waited.map_err(refuse_claim)
+                return waited.map_err(make_claim_refusal)
             case Granted() as granted:
                 return await self._async_detach(self._claims, granted, run)
 
@@ -133,7 +133,7 @@
         return Err(Refusal(message, RefusalCode.OUTCOME_UNKNOWN, 409, False))
 
 
-def refuse_claim(error: ClaimError) -> Refusal:
+def make_claim_refusal(error: ClaimError) -> Refusal:
     """Turn a claim that was not given into a refusal."""
     match error.problem:
         case ClaimProblem.UNAVAILABLE:
--- a/goldcreststair/components/online/gate.py
+++ b/goldcreststair/components/online/gate.py
@@ -70,7 +70,7 @@
                 # Callers may name any model; a lane for each name would grow without bound.
                 del self._lanes[key]
             if query.admitted or not chosen.err_value.saturated:
-                return Err(refuse_route(chosen.err_value))
+                return Err(make_route_refusal(chosen.err_value))
         refused = self._check_wait(lane, ticket)
         if refused is not None:
             return Err(refused)
@@ -109,7 +109,7 @@
         if waiter.placed.done():
             return True
         chosen = self._place(lane, ticket, waiter.query)
-        _settle(waiter, chosen.map_err(refuse_route))
+        _settle(waiter, chosen.map_err(make_route_refusal))
         return True
 
     def _place(
@@ -173,7 +173,7 @@
         waiter.placed.set_result(placed)
 
 
-def refuse_route(error: NoUpstream) -> Refusal:
+def make_route_refusal(error: NoUpstream) -> Refusal:
     """Turn a missing upstream into a refusal."""
     if not error.known:
         return Refusal(error.message, RefusalCode.UNKNOWN_MODEL, 404, True)
--- a/standins/worth/__main__.py
+++ b/standins/worth/__main__.py
@@ -9,7 +9,7 @@
 from cyclopts import Parameter
 from result import Err
 
-from goldcreststair.cli.stories import LogLine, read_lines
+from goldcreststair.cli.log_timeline import LogLine, read_lines
 from goldcreststair.const import MS_PER_SECOND
 from standins.worth.jobs import JobStory, collect_jobs
 from standins.worth.plot import draw_slots
--- a/standins/worth/jobs.py
+++ b/standins/worth/jobs.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from goldcreststair.cli.stories import LogLine
+from goldcreststair.cli.log_timeline import LogLine
 from goldcreststair.const import MS_PER_SECOND
 
 
@@ -39,8 +39,8 @@
 
     def take(self, line: LogLine) -> None:
         """Take one of its lines."""
-        if "due_in_ms" in line.seen:
-            self.due_ms = line.at_ms + int(line.seen["due_in_ms"])
+        if "due_in_ms" in line.fields:
+            self.due_ms = line.at_ms + int(line.fields["due_in_ms"])
         if line.event == "Job taken over":
             self.owners += 1
         elif line.event == "Job ended":
@@ -48,9 +48,9 @@
         elif line.event == "Item started":
             self.starts += 1
             self.first_start_ms = self.first_start_ms or line.at_ms
-        elif line.event == "Item done" and line.seen["item"] not in self._done:
+        elif line.event == "Item done" and line.fields["item"] not in self._done:
             # Done twice by two owners, it counts when it was first done.
-            self._done.add(str(line.seen["item"]))
+            self._done.add(str(line.fields["item"]))
             self.in_time += line.at_ms <= self.due_ms
             self.late += line.at_ms > self.due_ms
 
@@ -59,9 +59,9 @@
     """Return the jobs that were accepted, in order."""
     jobs: dict[str, JobStory] = {}
     for line in sorted(lines, key=lambda line: line.at_ms):
-        job = str(line.seen.get("job", ""))
+        job = str(line.fields.get("job", ""))
         if line.event == "Job accepted" and job not in jobs:
-            jobs[job] = JobStory(job, line.at_ms, int(line.seen.get("items", 0)))
+            jobs[job] = JobStory(job, line.at_ms, int(line.fields.get("items", 0)))
         elif job in jobs:
             jobs[job].take(line)
     return list(jobs.values())
--- a/standins/worth/refusals.py
+++ b/standins/worth/refusals.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from statistics import median
 
-from goldcreststair.cli.stories import LogLine
+from goldcreststair.cli.log_timeline import LogLine
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,13 +24,13 @@
     by_code: dict[str, list[LogLine]] = {}
     for line in lines:
         if line.event == "Request refused":
-            by_code.setdefault(str(line.seen.get("code", "")), []).append(line)
+            by_code.setdefault(str(line.fields.get("code", "")), []).append(line)
     groups = [
         RefusalGroup(
             code,
             len(found),
-            sum(bool(line.seen.get("cut")) for line in found),
-            median(int(line.seen.get("retry_after_ms", 0)) for line in found),
+            sum(bool(line.fields.get("cut")) for line in found),
+            median(int(line.fields.get("retry_after_ms", 0)) for line in found),
         )
         for code, found in by_code.items()
     ]
--- a/standins/worth/runs.py
+++ b/standins/worth/runs.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import Final
 
-from goldcreststair.cli.stories import LogLine
+from goldcreststair.cli.log_timeline import LogLine
 
 
 class Use(StrEnum):
@@ -61,7 +61,7 @@
     open_runs: dict[tuple[str, str], LogLine] = {}
     runs: list[Run] = []
     for line in ordered:
-        subject = str(line.seen.get("item") or line.seen.get("request") or "")
+        subject = str(line.fields.get("item") or line.fields.get("request") or "")
         key = (line.vm, subject)
         if line.event in _VM_ENDS:
             # A process that starts has lost what the one before it ran.
@@ -77,15 +77,15 @@
 
 def _judge(line: LogLine) -> Use:
     use = _ENDS[line.event]
-    if use is Use.BATCH_DONE and line.seen.get("due_in_ms", 0) < 0:
+    if use is Use.BATCH_DONE and line.fields.get("due_in_ms", 0) < 0:
         return Use.BATCH_DONE_LATE
-    if use is Use.BATCH_KEPT and line.seen.get("reason") == ENDED:
+    if use is Use.BATCH_KEPT and line.fields.get("reason") == ENDED:
         return Use.BATCH_ENDED
     return use
 
 
 def _close(began: LogLine, ended_ms: int, use: Use) -> Run:
     # The end of a request may be missing, left out by sampling: it lasted no longer than its time.
-    if "left_ms" in began.seen:
-        ended_ms = min(ended_ms, began.at_ms + int(began.seen["left_ms"]))
-    return Run(began.at_ms, ended_ms, str(began.seen.get("upstream", "")), use)
+    if "left_ms" in began.fields:
+        ended_ms = min(ended_ms, began.at_ms + int(began.fields["left_ms"]))
+    return Run(began.at_ms, ended_ms, str(began.fields.get("upstream", "")), use)
--- a/standins/worth/slots.py
+++ b/standins/worth/slots.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from goldcreststair.cli.stories import LogLine
+from goldcreststair.cli.log_timeline import LogLine
 from goldcreststair.const import MS_PER_SECOND
 from standins.worth.runs import Run, Use
 
@@ -59,18 +59,18 @@
     slots: dict[str, int] = {}
     for line in lines:
         if line.at_ms <= at_ms and line.event == "Upstreams known":
-            known: dict[str, int] = line.seen.get("slots_by_upstream") or {}
+            known: dict[str, int] = line.fields.get("slots_by_upstream") or {}
             # Others that start later know no more of an upstream than that it was there before.
             slots = {name: found or DEFAULT_SLOTS for name, found in known.items()} | slots
-        name = str(line.seen.get("upstream", ""))
+        name = str(line.fields.get("upstream", ""))
         if line.at_ms > at_ms or not name:
             continue
         if line.event == "Upstream gone" or (
-            line.event == "Upstream changed" and line.seen.get("draining")
+            line.event == "Upstream changed" and line.fields.get("draining")
         ):
             slots[name] = 0
         elif line.event == "Upstream changed":
-            slots[name] = int(line.seen.get("slots") or DEFAULT_SLOTS)
+            slots[name] = int(line.fields.get("slots") or DEFAULT_SLOTS)
     return sum(slots.values())
 
 
@@ -82,9 +82,9 @@
     for line in lines:
         if line.at_ms > at_ms:
             continue
-        job = str(line.seen.get("job", ""))
+        job = str(line.fields.get("job", ""))
         if line.event == "Job accepted":
-            sizes[job] = int(line.seen.get("items", 0))
+            sizes[job] = int(line.fields.get("items", 0))
         elif line.event == "Job ended":
             ended.add(job)
         elif line.event in ("Item done", "Item given up"):
--- a/tests/cli/test_stories.py
+++ b/tests/cli/test_log_timeline.py
@@ -3,7 +3,7 @@
 import orjson
 import pytest
 
-from goldcreststair.cli.stories import read_lines, tell_story
+from goldcreststair.cli.log_timeline import build_timeline, read_lines
 
 
 def make_line(ms: int, vm: str, event: str, **seen: object) -> str:
@@ -26,13 +26,13 @@
 
 
 def test_a_story_is_told_in_order_with_what_led_to_it() -> None:
-    story = tell_story(read_lines(LINES), "request", "r1")
-    assert [line.event for line in story.lines] == ["Request placed", "Request refused"]
-    assert [(line.vm, line.event) for line in story.context] == [
+    timeline = build_timeline(read_lines(LINES), "request", "r1")
+    assert [line.event for line in timeline.lines] == ["Request placed", "Request refused"]
+    assert [(line.vm, line.event) for line in timeline.context] == [
         ("10.0.0.2", "Upstream down"),
         ("10.0.0.1", "Store lost"),
     ]
-    cause = story.name_cause()
+    cause = timeline.describe_cause()
     assert cause.startswith("no upstream took it; it has not run")
     assert "upstream down (10.0.0.2)" in cause
 
@@ -50,7 +50,7 @@
 def test_the_cause_is_named(last: dict[str, object], words: str) -> None:
     event = str(last.pop("event"))
     lines = [make_line(1, "a", event, request="r1", **last)]
-    assert words in tell_story(read_lines(lines), "request", "r1").name_cause()
+    assert words in build_timeline(read_lines(lines), "request", "r1").describe_cause()
 
 
 def test_a_run_that_moved_is_counted() -> None:
@@ -59,8 +59,11 @@
         make_line(1, "a", "Request goes back", request="r1", reason="not run"),
         make_line(2, "a", "Request answered", request="r1"),
     ]
-    assert "after 2 runs that failed" in tell_story(read_lines(lines), "request", "r1").name_cause()
+    assert (
+        "after 2 runs that failed"
+        in build_timeline(read_lines(lines), "request", "r1").describe_cause()
+    )
 
 
 def test_nothing_known_is_said() -> None:
-    assert "nothing known" in tell_story(read_lines(LINES), "request", "r9").name_cause()
+    assert "nothing known" in build_timeline(read_lines(LINES), "request", "r9").describe_cause()
--- a/tests/components/caller_api/test_errors.py
+++ b/tests/components/caller_api/test_errors.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from goldcreststair.components.caller_api.errors import refuse_key
+from goldcreststair.components.caller_api.errors import make_key_refusal
 from goldcreststair.components.keys.protocols import KeyRefused
 
 
@@ -16,5 +16,5 @@
     The next VM has just woken from a pause, holds itself for cut off and refuses every key. Told
     "not run", the caller would book another ground, though the first one is booked.
     """
-    refusal = refuse_key(KeyRefused("cut off from the fleet", temporary), idempotency_key)
+    refusal = make_key_refusal(KeyRefused("cut off from the fleet", temporary), idempotency_key)
     assert refusal.not_run is not_run
--- a/tests/faults/fleet.py
+++ b/tests/faults/fleet.py
@@ -12,7 +12,7 @@
 from goldcreststair.components.batch.parsing import Defaults
 from goldcreststair.components.batch.service import BATCH
 from goldcreststair.components.batch.submission import SubmitOptions
-from goldcreststair.components.caller_api.errors import refuse_key
+from goldcreststair.components.caller_api.errors import make_key_refusal
 from goldcreststair.components.configuration.controller import CONFIGURATION_FOLLOWER
 from goldcreststair.components.configuration.models import CONFIGURATION
 from goldcreststair.components.keys.protocols import KEYS
@@ -265,7 +265,7 @@
         async def async_send(core: Any) -> Any:
             identified = core.get(KEYS).identify(f"key-{customer}")
             if isinstance(identified, Err):
-                return Err(refuse_key(identified.err_value, key))
+                return Err(make_key_refusal(identified.err_value, key))
             identity = identified.ok_value
             wanted = GenerateRequest(
                 request,
@@ -291,7 +291,7 @@
         async def async_send(core: Any) -> Any:
             identified = core.get(KEYS).identify("key-acme")
             if isinstance(identified, Err):
-                return Err(refuse_key(identified.err_value, key))
+                return Err(make_key_refusal(identified.err_value, key))
             identity = identified.ok_value
             content = orjson.dumps({"booking": key, "body": body, "repeatable": repeatable})
             wanted = ServiceRequest(
--- a/tests/worth/test_worth.py
+++ b/tests/worth/test_worth.py
@@ -6,7 +6,7 @@
 import orjson
 import pytest
 
-from goldcreststair.cli.stories import LogLine
+from goldcreststair.cli.log_timeline import LogLine
 from standins.worth.__main__ import main
 from standins.worth.jobs import collect_jobs
 from standins.worth.refusals import group_refusals
