--- a/goldcreststair/components/online/__init__.py
+++ b/goldcreststair/components/online/__init__.py
@@ -1,11 +1,11 @@
-"""Online requests from admission to the whole answer."""
+"""Runs online requests, from admission to the complete response."""
 
 from goldcreststair.components.online.service import ONLINE, OnlineService
 from goldcreststair.core import Component, Core
 
 
 async def async_setup(core: Core) -> Component:
-    """Set up the service."""
+    """Create the online service and offer it to other components."""
     service = OnlineService(core)
     core.offer(ONLINE, service)
     return service
--- a/goldcreststair/components/online/calls.py
+++ b/goldcreststair/components/online/calls.py
@@ -1,4 +1,4 @@
-"""Runs one call of a plain service, never twice where it may not be repeated."""
+"""Runs calls of plain services; a call that is not repeatable never runs twice."""
 
 from result import Err, Ok, Result
 
@@ -17,10 +17,10 @@
 
 
 class ServiceRunner:
-    """Places calls and repeats those that may be repeated or certainly did not run."""
+    """Places calls and retries those that are repeatable or certainly did not run."""
 
     def __init__(self, core: Core, gate: AdmissionGate) -> None:
-        """Use the components set up before."""
+        """Look up the components that are set up earlier."""
         self._clock = core.clock
         self._services = core.upstreams.services
         self._router = core.get(ROUTER)
@@ -30,7 +30,7 @@
     async def async_run(
         self, request: ServiceRequest, deadline_at: Millis
     ) -> Result[Outcome, Refusal]:
-        """Run one call to its whole answer."""
+        """Run one call until its response is complete or refused."""
         self._budget.record_request()
         progress = RunProgress(request.repeatable)
         excluded: frozenset[str] = frozenset()
@@ -40,20 +40,20 @@
             query = RouteQuery(service=request.service, excluded=excluded)
             placed = await self._gate.async_enter(ticket, query)
             if isinstance(placed, Err):
-                return Err(_refuse_placing(placed.err_value, progress))
+                return Err(_make_placement_refusal(placed.err_value, progress))
             upstream = placed.ok_value
             answered = await self._async_attempt(request, upstream, deadline_at)
             if isinstance(answered, Ok):
-                answer = answered.ok_value
-                return Ok(Outcome(answer.status, answer.content_type, answer.body))
+                response = answered.ok_value
+                return Ok(Outcome(response.status, response.content_type, response.body))
             error = answered.err_value
             progress.attempts += 1
             progress.may_have_run = progress.may_have_run or not error.not_run
             if error.failure is UpstreamFailure.REFUSED:
-                self._router.note_refused(upstream.name)
+                self._router.mark_refused(upstream.name)
             remaining = deadline_at - self._clock.now()
             if decide_next(progress, error, self._budget, remaining) is NextStep.GIVE_UP:
-                return Err(_refuse_failure(error, progress))
+                return Err(_make_failure_refusal(error, progress))
             excluded |= {upstream.name} if error.not_run else set()
 
     async def _async_attempt(
@@ -76,7 +76,7 @@
             self._gate.leave(upstream.name, request.request_id, ok=ok)
 
 
-def _refuse_placing(refusal: Refusal, progress: RunProgress) -> Refusal:
+def _make_placement_refusal(refusal: Refusal, progress: RunProgress) -> Refusal:
     if not progress.may_have_run:
         if refusal.code is RefusalCode.UNKNOWN_MODEL:
             return Refusal(refusal.message, RefusalCode.UNKNOWN_SERVICE, 404, True)
@@ -84,13 +84,13 @@
     return Refusal(refusal.message, RefusalCode.UPSTREAM_FAILED, 502, False, 1000)
 
 
-def _refuse_failure(error: UpstreamError, progress: RunProgress) -> Refusal:
+def _make_failure_refusal(error: UpstreamError, progress: RunProgress) -> Refusal:
     if error.failure is UpstreamFailure.REJECTED:
         return Refusal(
             error.message, RefusalCode.INVALID_REQUEST, error.status, upstream_body=error.body
         )
     if not progress.may_have_run:
-        return Refusal("no upstream took it", RefusalCode.NO_UPSTREAM, 503, True, 1000)
+        return Refusal("no upstream accepted the request", RefusalCode.NO_UPSTREAM, 503, True, 1000)
     if not progress.repeatable:
         message = "it may have run; its answer was lost"
         return Refusal(message, RefusalCode.OUTCOME_UNKNOWN, 409, False)
--- a/goldcreststair/components/online/claiming.py
+++ b/goldcreststair/components/online/claiming.py
@@ -1,4 +1,4 @@
-"""Runs a request under a claim, so that it is answered once however often it is sent."""
+"""Runs a request under a claim, so that resends do not run it again."""
 
 import asyncio
 import hashlib
@@ -33,36 +33,39 @@
 
 
 def make_request_fingerprint(method: str, path: str, body: bytes) -> str:
-    """Return what tells a resend from another request under the same key."""
+    """Return a digest that distinguishes a resend from another request under the same key."""
     return hashlib.sha256(f"{method} {path}\n".encode() + body).hexdigest()
 
 
 class ClaimedRunner:
-    """Claims, runs, settles; a run under a claim outlives its caller's connection."""
+    """Claims a request, runs it and settles the claim.
+
+    A run under a claim continues after its caller disconnects.
+    """
 
     def __init__(self, core: Core) -> None:
-        """Use claims if they are offered."""
+        """Look up the claims; without them every request is refused."""
         self._clock: Clock = core.clock
         self._claims = _find_claims(core)
         self._runs: set[asyncio.Task[Result[Outcome, Refusal]]] = set()
         self._orphans: set[asyncio.Task[Result[Outcome, Refusal]]] = set()
 
     async def async_close(self) -> None:
-        """Wait for nothing more: cut the runs that are left."""
+        """Cancel the remaining runs."""
         for task in tuple(self._runs):
             task.cancel()
         await asyncio.gather(*self._runs, return_exceptions=True)
 
     def count_orphans(self) -> int:
-        """Return the runs that go on although their caller went away."""
+        """Return how many runs continue although their caller disconnected."""
         return len(self._orphans)
 
     async def async_run(
         self, request: ClaimRequest, run: Run, deadline_at: Millis
     ) -> Result[Outcome, Refusal]:
-        """Return the request's only outcome, by running it, joining its run, or reading it."""
+        """Return the request's single outcome: run it, join its run, or read the stored outcome."""
         if self._claims is None:
-            message = "requests that must run once cannot be kept here now"
+            message = "requests that must run only once cannot be recorded here now"
             return Err(Refusal(message, RefusalCode.NOT_READY, 503, True, 1000))
         claimed = await self._claims.async_claim(
             request, min(CLAIM_TIMEOUT_MS, max(1, deadline_at - self._clock.now()))
@@ -70,8 +73,8 @@
         if isinstance(claimed, Err):
             refusal = make_claim_refusal(claimed.err_value)
             unread = claimed.err_value.problem is ClaimProblem.UNAVAILABLE
-            doubtful = unread and request.is_caller_key
-            return Err(clear_not_run(refusal) if doubtful else refusal)
+            may_have_run = unread and request.is_caller_key
+            return Err(clear_not_run(refusal) if may_have_run else refusal)
         match claimed.ok_value:
             case Finished(outcome):
                 return Ok(outcome)
@@ -85,8 +88,8 @@
     async def _async_detach(
         self, claims: Claims, granted: Granted, run: Run
     ) -> Result[Outcome, Refusal]:
-        # A caller whose connection went away sends again and must find this run or its outcome,
-        # so the run is not the connection's to end.
+        # A caller that lost its connection resends and has to find this run or its outcome, so
+        # the end of the connection does not end the run.
         task = asyncio.create_task(self._async_settle(claims, granted, run))
         self._runs.add(task)
         task.add_done_callback(self._runs.discard)
@@ -126,15 +129,15 @@
             if self._clock.now() >= give_up_at:
                 break
             await self._clock.async_sleep(RETRY_PAUSE_MS)
-        # Given out although not kept, a resend after this VM's loss could not get the same
-        # answer; the caller is told that it ran and that its outcome is not known for good.
-        _LOGGER.warning("Outcome of claim %s could not be kept", granted.claim_id)
-        message = "it ran, but its outcome could not be kept"
+        # If the outcome were returned without being stored, a resend after the loss of this VM
+        # could not get the same response. So the caller gets "outcome unknown" instead.
+        _LOGGER.warning("Outcome of claim %s could not be stored", granted.claim_id)
+        message = "it ran, but its outcome could not be stored"
         return Err(Refusal(message, RefusalCode.OUTCOME_UNKNOWN, 409, False))
 
 
 def make_claim_refusal(error: ClaimError) -> Refusal:
-    """Turn a claim that was not given into a refusal."""
+    """Return the refusal for a failed claim."""
     match error.problem:
         case ClaimProblem.UNAVAILABLE:
             return Refusal(error.message, RefusalCode.NOT_READY, 503, True, 1000)
--- a/goldcreststair/components/online/departures.py
+++ b/goldcreststair/components/online/departures.py
@@ -1,4 +1,4 @@
-"""Decides which streams leave a departing upstream, when and how; no I/O."""
+"""Decides which streams move off a departing upstream, when and how; no I/O."""
 
 import math
 from collections.abc import Sequence
@@ -16,49 +16,49 @@
 
 
 class MoveMethod(StrEnum):
-    """How the next upstream comes by the KV state of a stream."""
+    """How the next upstream gets the KV state of a stream."""
 
     KV = "kv"
-    """Exported and imported."""
+    """The state is exported from one engine and imported into the other."""
     PREFILL = "prefill"
-    """Computed again from the prompt and the text so far."""
+    """The state is recomputed from the prompt and the text so far."""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamState:
-    """How far one stream at a departing upstream has come."""
+    """Progress of one stream at a departing upstream."""
 
     request_id: str
     departure_at: Millis
-    """When its upstream is gone."""
+    """When its upstream stops serving."""
     produced: int
-    """Tokens that its caller has."""
-    wanted: int
-    """Tokens it may come to; 0 if unknown."""
+    """Tokens already sent to the caller."""
+    max_tokens: int
+    """Limit on the tokens of the response; 0 if unknown."""
     streaming_ms: int
-    """Time since its first token; 0 before it."""
+    """Time since the first token; 0 before it."""
 
     def estimate_left_ms(self) -> float:
-        """Return how long it will go on; without end if nothing tells."""
-        if not self.wanted or self.produced < 1 or self.streaming_ms < 1:
+        """Return the estimated remaining time in ms; infinite if it cannot be estimated."""
+        if not self.max_tokens or self.produced < 1 or self.streaming_ms < 1:
             return math.inf
-        return (self.wanted - self.produced) * self.streaming_ms / self.produced
+        return (self.max_tokens - self.produced) * self.streaming_ms / self.produced
 
 
-def choose_method(context_tokens: int) -> MoveMethod:
-    """Return the quicker way for a stream with so many tokens of prompt and answer."""
+def choose_move_method(context_tokens: int) -> MoveMethod:
+    """Return the faster method for a context of this many prompt and response tokens."""
     return MoveMethod.KV if context_tokens >= KV_MOVE_MIN_TOKENS else MoveMethod.PREFILL
 
 
-def choose_movers(
+def choose_streams_to_move(
     streams: Sequence[StreamState], moving: int, now: Millis
 ) -> tuple[StreamState, ...]:
-    """Return which streams to move now, longest first; `moving` are under way already."""
+    """Return the streams to move now, longest first; `moving` counts the moves in progress."""
     long = [s for s in streams if now + s.estimate_left_ms() > s.departure_at - END_MARGIN_MS]
     if not long:
         return ()
-    # A whole data centre leaves in one night: moved all at once, its streams would meet as one
-    # wave of prefills at the engines that stay, and every caller there would see its tokens halt.
+    # When a whole data centre departs, moving all its streams at once would send a wave of
+    # prefills to the remaining engines and stall the tokens of every caller there.
     first_departure = min(stream.departure_at for stream in long)
     ticks_left = max(1, (first_departure - MOVE_MARGIN_MS - now) // MOVE_TICK_MS)
     due = min(math.ceil(len(long) / ticks_left), MAX_MOVES_AT_ONCE - moving)
--- a/goldcreststair/components/online/fair_queue.py
+++ b/goldcreststair/components/online/fair_queue.py
@@ -1,4 +1,4 @@
-"""Who goes next among waiting requests: deficit round robin over customers; no I/O."""
+"""Orders waiting requests by deficit round robin over customers; no I/O."""
 
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """One waiting request."""
+    """A waiting request."""
 
     request_id: str
     customer: str
@@ -25,18 +25,18 @@
 
 
 class FairQueue:
-    """Waiting requests of one model; each customer's share follows its weight."""
+    """Waiting requests of one model or service; a customer's share follows its weight."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty queue."""
         self._queues: OrderedDict[str, _CustomerQueue] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of waiting requests."""
         return sum(len(queue.tickets) for queue in self._queues.values())
 
     def count(self, customer: str) -> int:
-        """Return how many of one customer wait."""
+        """Return the number of waiting requests of one customer."""
         queue = self._queues.get(customer)
         return len(queue.tickets) if queue else 0
 
@@ -47,27 +47,27 @@
         queue.tickets.append(ticket)
 
     def pop(self) -> Ticket | None:
-        """Take the request that goes next."""
+        """Remove and return the next request, or None if none waits."""
         if not self._queues:
             return None
         heaviest = max(queue.weight for queue in self._queues.values())
         while True:
             customer, queue = next(iter(self._queues.items()))
             self._queues.move_to_end(customer)
-            # The heaviest customer earns one request a turn, the others their part of it.
+            # The customer with the highest weight gets one request a turn, the others a fraction.
             queue.deficit += queue.weight / heaviest
             if queue.deficit >= 1:
                 queue.deficit -= 1
-                return self._take(customer, queue)
+                return self._pop_first(customer, queue)
 
-    def _take(self, customer: str, queue: _CustomerQueue) -> Ticket:
+    def _pop_first(self, customer: str, queue: _CustomerQueue) -> Ticket:
         ticket = queue.tickets.popleft()
         if not queue.tickets:
             del self._queues[customer]
         return ticket
 
     def remove(self, ticket: Ticket) -> bool:
-        """Take a request out wherever it stands."""
+        """Remove a request at any position; returns whether it was queued."""
         queue = self._queues.get(ticket.customer)
         if queue is None or ticket not in queue.tickets:
             return False
@@ -77,14 +77,14 @@
         return True
 
     def expire(self, now: Millis) -> list[Ticket]:
-        """Take out every request whose deadline has come."""
-        gone = [t for q in self._queues.values() for t in q.tickets if t.deadline_at <= now]
-        for ticket in gone:
+        """Remove and return every request whose deadline has passed."""
+        expired = [t for q in self._queues.values() for t in q.tickets if t.deadline_at <= now]
+        for ticket in expired:
             self.remove(ticket)
-        return gone
+        return expired
 
     def estimate_wait_ms(self, customer: str, weight: float, rate_per_s: float) -> int:
-        """Return how long a new request would wait while `rate_per_s` requests leave the queue."""
+        """Return the expected wait of a new request in ms; `rate_per_s` requests leave a second."""
         if rate_per_s <= 0:
             return 0
         ahead = self.count(customer) + 1
--- a/goldcreststair/components/online/generation.py
+++ b/goldcreststair/components/online/generation.py
@@ -1,4 +1,4 @@
-"""Runs one generation over as many connections and upstreams as it takes."""
+"""Runs one generation, over several connections and upstreams if needed."""
 
 import asyncio
 import dataclasses
@@ -11,7 +11,7 @@
 from goldcreststair.components.online.fair_queue import Ticket
 from goldcreststair.components.online.gate import AdmissionGate
 from goldcreststair.components.online.models import GenerateRequest
-from goldcreststair.components.online.mover import FollowedStream, StreamMover
+from goldcreststair.components.online.mover import MovableStream, StreamMover
 from goldcreststair.components.online.pressure import PressureMeter
 from goldcreststair.components.online.recovery import NextStep, RunProgress, decide_next
 from goldcreststair.components.online.stream import StreamRecorder
@@ -26,10 +26,10 @@
 
 
 class _FirstTokenSink:
-    """Passes chunks to the recorder and tells when the first of one run came."""
+    """Passes chunks to the recorder and reports the first chunk of a run."""
 
     def __init__(self, recorder: StreamRecorder, on_first: Callable[[], None]) -> None:
-        self.accepting = asyncio.Lock()
+        self.accept_lock = asyncio.Lock()
         self._recorder = recorder
         self._on_first: Callable[[], None] | None = on_first
 
@@ -37,15 +37,15 @@
         if self._on_first is not None:
             self._on_first()
             self._on_first = None
-        async with self.accepting:
+        async with self.accept_lock:
             await self._recorder.async_accept(chunk)
 
 
 class GenerationRunner:
-    """Places, runs, resumes and moves generations."""
+    """Places generations on upstreams, runs, resumes and moves them."""
 
     def __init__(self, core: Core, gate: AdmissionGate, meter: PressureMeter) -> None:
-        """Use the components set up before."""
+        """Look up the components that are set up earlier."""
         self._clock = core.clock
         self._journal = core.journal
         self._engines = core.upstreams.engines
@@ -58,22 +58,22 @@
         self._mover = StreamMover(core)
 
     async def async_close(self) -> None:
-        """Wait until upstreams know which runs nobody follows any more."""
+        """Wait for the cancel calls of abandoned runs to reach their upstreams."""
         await self._mover.async_close()
         await asyncio.gather(*self._cancels, return_exceptions=True)
 
     async def async_run(
         self, request: GenerateRequest, recorder: StreamRecorder, deadline_at: Millis
     ) -> Result[GenerateEnd, Refusal]:
-        """Run one request to its whole answer."""
+        """Run one request until its response is complete or refused."""
         self._budget.record_request()
         run = _GenerationRun(request, recorder, deadline_at)
         if self._quarantine.is_quarantined(run.fingerprint):
-            return Err(_refuse_quarantined(run))
+            return Err(_make_quarantine_refusal(run))
         while True:
             placed = await self._async_place(run)
             if isinstance(placed, Err):
-                return Err(_keep_truth(placed.err_value, run.progress))
+                return Err(_correct_not_run(placed.err_value, run.progress))
             done = await self._async_run_placed(run, placed.ok_value)
             if done is not None:
                 return done
@@ -81,9 +81,13 @@
     async def _async_place(self, run: "_GenerationRun") -> Result[Upstream, Refusal]:
         run.alone = self._quarantine.is_suspect(run.fingerprint)
         ticket = run.make_ticket()
-        # Where all upstreams refuse, or are gone, the next attempts are made slowly.
-        if run.progress.vain >= MAX_ATTEMPTS and not await self._async_pause(run):
-            return Err(Refusal("no upstream took it", RefusalCode.NO_UPSTREAM, 503, True, 1000))
+        # While all upstreams refuse or are unreachable, further attempts are spaced out.
+        if run.progress.unstarted >= MAX_ATTEMPTS and not await self._async_pause(run):
+            return Err(
+                Refusal(
+                    "no upstream accepted the request", RefusalCode.NO_UPSTREAM, 503, True, 1000
+                )
+            )
         while True:
             placed = await self._gate.async_enter(ticket, run.make_query())
             waiting = isinstance(placed, Err) and placed.err_value.code is RefusalCode.NO_UPSTREAM
@@ -91,12 +95,12 @@
                 return placed
 
     async def _async_pause(self, run: "_GenerationRun") -> bool:
-        """Give upstreams time to come back; returns False if there is none left."""
-        if self._clock.now() + RETRY_PAUSE_MS >= run.deadline_at or run.pauses <= 0:
+        """Wait for upstreams to recover; returns False if no time is left."""
+        if self._clock.now() + RETRY_PAUSE_MS >= run.deadline_at or run.pauses_left <= 0:
             return False
-        # Every other upstream is busy with a suspect or failed just now: come back soon,
-        # and to any, for the one left first may serve again.
-        run.pauses -= 1
+        # Every other upstream is isolated for a suspect request or has just failed. The next
+        # attempt may use any upstream: those excluded so far may serve again by then.
+        run.pauses_left -= 1
         run.excluded = frozenset()
         await self._clock.async_sleep(RETRY_PAUSE_MS)
         return True
@@ -104,7 +108,7 @@
     async def _async_run_placed(
         self, run: "_GenerationRun", upstream: Upstream
     ) -> Result[GenerateEnd, Refusal] | None:
-        """Run at one upstream until it ends or moves; None to be placed again."""
+        """Run at one upstream; returns the result, or None if the request has to be placed again."""
         request_id = run.request.request_id
         self._quarantine.begin(upstream.name, request_id, run.fingerprint)
         self._journal.record(
@@ -126,11 +130,11 @@
                 step = self._decide(run, upstream, outcome.err_value)
                 left_running = not outcome.err_value.not_run
                 if step is NextStep.GIVE_UP:
-                    return Err(_refuse_failure(outcome.err_value, run.progress))
+                    return Err(_make_failure_refusal(outcome.err_value, run.progress))
                 if self._quarantine.is_quarantined(run.fingerprint):
-                    return Err(_refuse_quarantined(run))
+                    return Err(_make_quarantine_refusal(run))
                 if step is NextStep.ELSEWHERE:
-                    # A refusal passes, and the router knows for how long it holds.
+                    # A refusal is temporary, and the router tracks how long it lasts.
                     if outcome.err_value.failure is not UpstreamFailure.REFUSED:
                         run.excluded |= {upstream.name}
                     return None
@@ -148,20 +152,20 @@
         began = self._clock.now()
 
         def on_first() -> None:
-            self._meter.note_first_token(upstream.name, self._clock.now() - began)
+            self._meter.record_first_token(upstream.name, self._clock.now() - began)
 
         sink = _FirstTokenSink(run.recorder, on_first)
         attempt = self._engines.async_generate(upstream, run.make_call(began), sink)
         if run.request.stream:
-            stream = FollowedStream(upstream, run.request, run.recorder, sink.accepting)
-            outcome = await self._mover.async_follow(stream, attempt)
-            run.take_holder(stream)
+            stream = MovableStream(upstream, run.request, run.recorder, sink.accept_lock)
+            outcome = await self._mover.async_run(stream, attempt)
+            run.set_kv_holder(stream)
         else:
             outcome = await attempt
-        # An end that came although its last tokens did not would give out half an answer as whole.
+        # A stream end without its last tokens would present a partial response as complete.
         short = isinstance(outcome, Ok) and run.lacks_tokens(outcome.ok_value)
         if isinstance(outcome, Ok) and (run.recorder.gap or short):
-            return Err(UpstreamError("tokens were left out", UpstreamFailure.INCOMPLETE))
+            return Err(UpstreamError("tokens are missing", UpstreamFailure.INCOMPLETE))
         return outcome
 
     def _decide(self, run: "_GenerationRun", upstream: Upstream, error: UpstreamError) -> NextStep:
@@ -170,21 +174,21 @@
             progress.reconnects = 0
         progress.last_index = run.recorder.last_index
         progress.may_have_run = progress.may_have_run or not error.not_run
-        progress.vain = progress.vain + 1 if error.not_run else 0
+        progress.unstarted = progress.unstarted + 1 if error.not_run else 0
         if error.not_run and progress.may_have_run:
-            # No run: a stream that has begun must not be cut for upstreams that restart.
+            # Not counted: a stream that has begun must not be cut because upstreams restart.
             progress.attempts -= 1
         if error.failure is UpstreamFailure.MOVED:
-            # Nothing failed: a stream that moves often must not run out of attempts.
+            # Not counted: a stream that moves often must not run out of attempts.
             progress.attempts -= 1
             return NextStep.ELSEWHERE
         if error.failure is UpstreamFailure.REFUSED:
-            self._router.note_refused(upstream.name, run.request.model)
+            self._router.mark_refused(upstream.name, run.request.model)
         if error.failure is UpstreamFailure.LOST and not error.status:
             self._quarantine.report_crash(upstream.name, run.request.request_id)
         remaining = run.deadline_at - self._clock.now()
         step = decide_next(
-            progress, error, self._budget, remaining, lambda: self._has_other(run, upstream)
+            progress, error, self._budget, remaining, lambda: self._has_alternative(run, upstream)
         )
         self._journal.record(
             Subject.REQUEST,
@@ -197,24 +201,24 @@
         )
         progress.reconnects = progress.reconnects + 1 if step is NextStep.SAME else 0
         if step is NextStep.SAME and error.failure is UpstreamFailure.SILENT:
-            # Joins the run that is already counted.
+            # The new connection joins the same run, which is already counted.
             progress.attempts -= 1
         return step
 
-    def _has_other(self, run: "_GenerationRun", upstream: Upstream) -> bool:
+    def _has_alternative(self, run: "_GenerationRun", upstream: Upstream) -> bool:
         excluded = run.excluded | {upstream.name}
         query = dataclasses.replace(run.make_query(), prefix="", excluded=excluded)
         return isinstance(self._router.choose(query), Ok)
 
     def _cancel(self, upstream: Upstream, request_id: str) -> None:
-        """Free the upstream of a run that nobody follows any more."""
+        """Cancel an abandoned run at its upstream."""
         task = asyncio.ensure_future(self._engines.async_cancel(upstream, request_id))
         self._cancels.add(task)
         task.add_done_callback(self._cancels.discard)
 
 
 class _GenerationRun:
-    """One request over all its runs."""
+    """State of one request over all its runs."""
 
     def __init__(
         self, request: GenerateRequest, recorder: StreamRecorder, deadline_at: Millis
@@ -225,19 +229,19 @@
         self.progress = RunProgress(repeatable=True)
         self.excluded: frozenset[str] = frozenset()
         self.alone = False
-        self.holder = ""
-        """Name of the upstream that holds the KV state, if one does."""
-        self.pauses = 100
+        self.kv_holder = ""
+        """Name of the upstream that holds the KV state, or empty."""
+        self.pauses_left = 100
         self.fingerprint = make_fingerprint(request.identity.customer.name, request.body)
 
     def make_ticket(self) -> Ticket:
         customer = self.request.identity.customer
         return Ticket(self.request.request_id, customer.name, customer.weight, self.deadline_at)
 
-    def take_holder(self, stream: FollowedStream) -> None:
-        """Remember where a stream that moves shall go on."""
-        left = stream.leave.done() and not stream.leave.cancelled()
-        self.holder = stream.leave.result() if left else ""
+    def set_kv_holder(self, stream: MovableStream) -> None:
+        """Record which upstream a moving stream continues at."""
+        moved = stream.handover.done() and not stream.handover.cancelled()
+        self.kv_holder = stream.handover.result() if moved else ""
 
     def make_query(self) -> RouteQuery:
         return RouteQuery(
@@ -246,11 +250,11 @@
             excluded=self.excluded,
             alone=self.alone,
             admitted=self.progress.has_begun,
-            preferred=self.holder,
+            preferred=self.kv_holder,
         )
 
     def lacks_tokens(self, end: GenerateEnd) -> bool:
-        """Return whether a stream ended before the last token that its end names."""
+        """Return whether a stream ended before the last token index that its end reports."""
         return self.request.stream and self.recorder.last_index < end.last_index
 
     def make_call(self, now: Millis) -> GenerateCall:
@@ -266,20 +270,20 @@
         )
 
 
-def _keep_truth(refusal: Refusal, progress: RunProgress) -> Refusal:
-    """Return a refusal that says "not run" only if no run before may have happened."""
+def _correct_not_run(refusal: Refusal, progress: RunProgress) -> Refusal:
+    """Return the refusal, marked as not run only if no earlier run may have happened."""
     if not progress.may_have_run or not refusal.not_run:
         return refusal
     return Refusal(refusal.message, refusal.code, 502, False, refusal.retry_after_ms)
 
 
-def _refuse_quarantined(run: _GenerationRun) -> Refusal:
+def _make_quarantine_refusal(run: _GenerationRun) -> Refusal:
     message = "this request crashed upstreams and is quarantined"
-    ran = run.progress.may_have_run
-    return Refusal(message, RefusalCode.QUARANTINED, 422, not_run=not ran)
+    not_run = not run.progress.may_have_run
+    return Refusal(message, RefusalCode.QUARANTINED, 422, not_run=not_run)
 
 
-def _refuse_failure(error: UpstreamError, progress: RunProgress) -> Refusal:
+def _make_failure_refusal(error: UpstreamError, progress: RunProgress) -> Refusal:
     not_run = not progress.may_have_run
     if error.failure is UpstreamFailure.REJECTED:
         code, status = RefusalCode.INVALID_REQUEST, error.status
@@ -287,5 +291,5 @@
     if error.failure is UpstreamFailure.TIMEOUT:
         return Refusal(error.message, RefusalCode.DEADLINE, 504, False, 1000)
     if not_run:
-        return Refusal("no upstream took it", RefusalCode.NO_UPSTREAM, 503, True, 1000)
+        return Refusal("no upstream accepted the request", RefusalCode.NO_UPSTREAM, 503, True, 1000)
     return Refusal(error.message, RefusalCode.UPSTREAM_FAILED, 502, False, 1000)
--- a/goldcreststair/components/online/levels.py
+++ b/goldcreststair/components/online/levels.py
@@ -1,4 +1,4 @@
-"""Tells service levels how each request fared."""
+"""Reports the result of each request to the service levels."""
 
 from typing import Final
 
@@ -20,14 +20,14 @@
         RefusalCode.NOT_READY,
     }
 )
-"""Refusals that count against the objectives; the others are the caller's own doing."""
+"""Refusals that count against the objectives; all others are caused by the caller."""
 
 
 class LevelObserver:
-    """Sorts ended requests into good, late and failed ones."""
+    """Reports the time to first token, or the failure, of ended requests."""
 
     def __init__(self, core: Core) -> None:
-        """Use service levels if they are offered."""
+        """Look up the service levels; without them nothing is reported."""
         self._clock = core.clock
         self._observer = core.find(SERVICE_LEVELS)
 
@@ -38,7 +38,7 @@
         first_token_at: Millis | None,
         ended: Result[GenerateEnd, Refusal],
     ) -> None:
-        """Count one request; an answer that is not streamed has its first token at its end."""
+        """Report one request; a response that is not streamed has its first token at its end."""
         if isinstance(ended, Err):
             if ended.err_value.code in FAILURES:
                 self._observe(customer, None)
--- a/goldcreststair/components/online/models.py
+++ b/goldcreststair/components/online/models.py
@@ -1,4 +1,4 @@
-"""Online requests."""
+"""Models of online requests."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerateRequest:
-    """One inference request of a caller."""
+    """A caller's inference request."""
 
     request_id: str
     identity: Identity
@@ -18,23 +18,23 @@
     stream: bool
     prefix: str = ""
     deadline_ms: int = 60_000
-    """Time from arrival within which the answer must be whole."""
+    """Time from arrival until the complete response is due."""
     idempotency_key: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceRequest:
-    """One call of a plain service."""
+    """A caller's call of a plain service."""
 
     request_id: str
     identity: Identity
     service: str
     method: str
     path: str
-    """The service's own path, with its query."""
+    """Path at the service, including the query."""
     body: bytes
     repeatable: bool
     deadline_ms: int = 60_000
     idempotency_key: str = ""
     headers: Mapping[str, str] = field(default_factory=dict)
-    """Allow-listed headers only."""
+    """Only headers on the allow list."""
--- a/goldcreststair/components/online/mover.py
+++ b/goldcreststair/components/online/mover.py
@@ -1,4 +1,4 @@
-"""Moves running streams from departing upstreams to others, without a caller noticing."""
+"""Moves running streams from departing upstreams to others, transparently to callers."""
 
 import asyncio
 import logging
@@ -18,8 +18,8 @@
 from goldcreststair.components.online.departures import (
     MoveMethod,
     StreamState,
-    choose_method,
-    choose_movers,
+    choose_move_method,
+    choose_streams_to_move,
 )
 from goldcreststair.components.online.models import GenerateRequest
 from goldcreststair.components.online.stream import StreamRecorder
@@ -36,52 +36,52 @@
 
 
 @dataclass(eq=False, slots=True)
-class FollowedStream:
-    """One streamed run at one upstream."""
+class MovableStream:
+    """A streamed run at one upstream that can be moved to another."""
 
     upstream: Upstream
     request: GenerateRequest
     recorder: StreamRecorder
-    accepting: asyncio.Lock
-    """Held while a chunk is passed to the caller."""
-    leave: "asyncio.Future[str]" = field(
+    accept_lock: asyncio.Lock
+    """Held while a chunk is forwarded to the caller."""
+    handover: "asyncio.Future[str]" = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
-    """Done when the run shall end here; names the upstream that holds its KV state, or none."""
+    """Resolved when the run has to end here: name of the upstream with its KV state, or empty."""
     moving: bool = False
-    _wanted: int | None = None
+    _max_tokens: int | None = None
 
     @property
     def context_tokens(self) -> int:
-        """Tokens of prompt and answer; those of the prompt are estimated from its bytes."""
+        """Tokens of prompt and response; those of the prompt are estimated from the body's bytes."""
         return len(self.request.body) // BYTES_PER_TOKEN + self.recorder.last_index + 1
 
-    def read_wanted(self) -> int:
-        """Return how many tokens the answer may come to, 0 if the caller does not say."""
-        if self._wanted is None:
+    def read_max_tokens(self) -> int:
+        """Return the token limit that the caller set for the response, or 0."""
+        if self._max_tokens is None:
             fields = orjson.loads(self.request.body)
-            wanted = fields.get("max_tokens") or fields.get("max_completion_tokens")
-            self._wanted = wanted if isinstance(wanted, int) else 0
-        return self._wanted
+            limit = fields.get("max_tokens") or fields.get("max_completion_tokens")
+            self._max_tokens = limit if isinstance(limit, int) else 0
+        return self._max_tokens
 
 
 class StreamMover:
-    """Follows streamed runs and ends them early where their upstream departs."""
+    """Tracks streamed runs and ends them early when their upstream departs."""
 
     def __init__(self, core: Core) -> None:
-        """Follow none yet."""
+        """Look up the components that are set up earlier."""
         self._clock = core.clock
         self._journal = core.journal
         self._statistics = core.statistics
         self._engines = core.upstreams.engines
         self._router = core.get(ROUTER)
-        self._streams: dict[str, dict[str, FollowedStream]] = {}
+        self._streams: dict[str, dict[str, MovableStream]] = {}
         """By upstream and request id."""
         self._moves: set[asyncio.Task[None]] = set()
         self._timer: TimerHandle | None = None
 
     async def async_close(self) -> None:
-        """Move nothing more."""
+        """Cancel the timer and all moves in progress."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -89,17 +89,17 @@
             task.cancel()
         await asyncio.gather(*self._moves, return_exceptions=True)
 
-    async def async_follow(
-        self, stream: FollowedStream, attempt: Attempt
+    async def async_run(
+        self, stream: MovableStream, attempt: Attempt
     ) -> Result[GenerateEnd, UpstreamError]:
-        """Return how a run ended; `MOVED` if it shall go on elsewhere."""
+        """Run one attempt and return its result; `MOVED` if it has to continue elsewhere."""
         task = asyncio.ensure_future(attempt)
         at_upstream = self._streams.setdefault(stream.upstream.name, {})
         at_upstream[stream.request.request_id] = stream
         self._arm()
         try:
-            either: set[asyncio.Future[Any]] = {task, stream.leave}
-            await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
+            awaited: set[asyncio.Future[Any]] = {task, stream.handover}
+            await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
             if not task.done():
                 await self._async_stop(stream, task)
             if not task.cancelled():
@@ -109,14 +109,14 @@
         finally:
             del at_upstream[stream.request.request_id]
             task.cancel()
-            stream.leave.cancel()
+            stream.handover.cancel()
 
     async def _async_stop(
-        self, stream: FollowedStream, task: "asyncio.Task[Result[GenerateEnd, UpstreamError]]"
+        self, stream: MovableStream, task: "asyncio.Task[Result[GenerateEnd, UpstreamError]]"
     ) -> None:
-        # Shows as words missing: a chunk already counted as passed on would be cut off on its way
-        # to the caller. Under the lock none is; one that waits for it was not counted yet.
-        async with stream.accepting:
+        # A chunk counted as forwarded must reach the caller, or its words would be missing. While
+        # the lock is held no chunk is being forwarded; one that waits for it is not counted yet.
+        async with stream.accept_lock:
             task.cancel()
         await asyncio.wait({task})
 
@@ -130,7 +130,7 @@
         departing = self._find_departing()
         by_id = {stream.request.request_id: stream for stream, _ in departing}
         states = [self._describe(stream, at) for stream, at in departing]
-        for chosen in choose_movers(states, len(self._moves), self._clock.now()):
+        for chosen in choose_streams_to_move(states, len(self._moves), self._clock.now()):
             stream = by_id[chosen.request_id]
             stream.moving = True
             task = asyncio.ensure_future(self._async_move(stream))
@@ -139,7 +139,7 @@
         if self._streams:
             self._arm()
 
-    def _find_departing(self) -> list[tuple[FollowedStream, Millis]]:
+    def _find_departing(self) -> list[tuple[MovableStream, Millis]]:
         found = []
         for streams in self._streams.values():
             upstream = next(iter(streams.values())).upstream
@@ -148,24 +148,24 @@
                 found += [(s, departure_at) for s in streams.values() if not s.moving]
         return found
 
-    def _describe(self, stream: FollowedStream, departure_at: Millis) -> StreamState:
+    def _describe(self, stream: MovableStream, departure_at: Millis) -> StreamState:
         first_at = stream.recorder.first_token_at
         return StreamState(
             request_id=stream.request.request_id,
             departure_at=departure_at,
             produced=stream.recorder.last_index + 1,
-            wanted=stream.read_wanted(),
+            max_tokens=stream.read_max_tokens(),
             streaming_ms=0 if first_at is None else self._clock.now() - first_at,
         )
 
-    async def _async_move(self, stream: FollowedStream) -> None:
+    async def _async_move(self, stream: MovableStream) -> None:
         try:
             await self._async_prepare(stream)
         finally:
             stream.moving = False
 
-    async def _async_prepare(self, stream: FollowedStream) -> None:
-        """Prepare another upstream while the run goes on, then end it here."""
+    async def _async_prepare(self, stream: MovableStream) -> None:
+        """Prepare another upstream while the run continues, then end the run here."""
         query = RouteQuery(
             model=stream.request.model,
             prefix=stream.request.prefix,
@@ -173,9 +173,9 @@
             admitted=True,
         )
         target = self._router.choose(query)
-        if isinstance(target, Err) or stream.leave.done():
+        if isinstance(target, Err) or stream.handover.done():
             return
-        method = choose_method(stream.context_tokens)
+        method = choose_move_method(stream.context_tokens)
         holder = ""
         if method is MoveMethod.KV and await self._async_transfer(stream, target.ok_value):
             holder = target.ok_value.name
@@ -189,15 +189,15 @@
             holder=holder,
             context_tokens=stream.context_tokens,
         )
-        if not stream.leave.done():
-            stream.leave.set_result(holder)
+        if not stream.handover.done():
+            stream.handover.set_result(holder)
 
-    async def _async_transfer(self, stream: FollowedStream, target: Upstream) -> bool:
-        """Carry the KV state over, in bounded time; returns whether it arrived."""
+    async def _async_transfer(self, stream: MovableStream, target: Upstream) -> bool:
+        """Transfer the KV state within `KV_MOVE_TIMEOUT_MS`; returns whether it arrived."""
         request_id = stream.request.request_id
         try:
-            # A departing engine may be gone, or too slow, at any moment: the text so far is
-            # always enough to go on elsewhere.
+            # A departing engine may stop or become too slow at any moment. Without its state the
+            # stream can still continue elsewhere from the text so far.
             async with asyncio.timeout(KV_MOVE_TIMEOUT_MS / MS_PER_SECOND):
                 exported = await self._engines.async_export_kv(stream.upstream, request_id)
                 if isinstance(exported, Err):
--- a/goldcreststair/components/online/recovery.py
+++ b/goldcreststair/components/online/recovery.py
@@ -1,4 +1,4 @@
-"""Decides what follows a failed run; no I/O."""
+"""Decides how to continue after a failed run; no I/O."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,8 +6,8 @@
 
 from goldcreststair.components.online.const import (
     MAX_ATTEMPTS,
-    MAX_LEFT_RUNS,
     MAX_RECONNECTS,
+    MAX_SILENCE_ATTEMPTS,
     MAX_WAITING_RECONNECTS,
 )
 from goldcreststair.helpers.retry_budget import RetryBudget
@@ -17,33 +17,33 @@
 
 
 class NextStep(StrEnum):
-    """What follows a failed run."""
+    """How a request continues after a failed run."""
 
     SAME = "same"
-    """A new connection to the same upstream, which knows the request by its id."""
+    """Reconnect to the same upstream, which identifies the request by its id."""
     ELSEWHERE = "elsewhere"
-    """Another upstream, after the tokens already received."""
+    """Continue at another upstream, after the tokens already received."""
     GIVE_UP = "give_up"
 
 
 @dataclass(slots=True)
 class RunProgress:
-    """How far one request has come over all its runs."""
+    """Progress of one request over all its runs."""
 
     repeatable: bool
     attempts: int = 0
     reconnects: int = 0
-    """New connections to the present upstream since the last token."""
+    """New connections to the current upstream since the last token."""
     last_index: int = -1
     """Index of the last token received."""
-    vain: int = 0
-    """Attempts that no upstream took since the last one that may have run."""
+    unstarted: int = 0
+    """Attempts in a row that certainly did not run."""
     may_have_run: bool = False
-    """Whether any upstream may have run any part; "not run" is untrue from then on."""
+    """Whether an upstream may have run any part; the request is then no longer "not run"."""
 
     @property
     def has_begun(self) -> bool:
-        """Whether an upstream was asked before, so that the request was admitted then."""
+        """Whether an upstream was tried before; the request was then admitted already."""
         return self.attempts > 0 or self.may_have_run
 
 
@@ -52,24 +52,24 @@
     error: UpstreamError,
     budget: RetryBudget,
     remaining_ms: int,
-    has_other: Callable[[], bool] = lambda: True,
+    has_alternative: Callable[[], bool] = lambda: True,
 ) -> NextStep:
-    """Return what follows `error`; `progress` already counts the failed run.
+    """Return how to continue after `error`; `progress` already counts the failed run.
 
-    `has_other` tells whether another upstream would take the request now.
+    `has_alternative` returns whether another upstream would accept the request now.
     """
     if remaining_ms <= 0:
         return NextStep.GIVE_UP
     if error.failure is UpstreamFailure.SILENT and progress.repeatable:
-        return _follow_silence(progress, budget, has_other)
+        return _decide_after_silence(progress, budget, has_alternative)
     if progress.attempts >= MAX_ATTEMPTS:
         return NextStep.GIVE_UP
     if error.failure in (UpstreamFailure.REJECTED, UpstreamFailure.TIMEOUT):
         return NextStep.GIVE_UP
-    # A run that certainly did not happen is free to move, whether repeatable or not.
+    # A request that certainly did not run may move, whether it is repeatable or not.
     if error.not_run:
         return NextStep.ELSEWHERE
-    # Shows as two grounds booked: the answer was lost, not the run, so it is never sent again.
+    # Only the response was lost, the call may have run: repeating it could, for example, book twice.
     if not progress.repeatable:
         return NextStep.GIVE_UP
     if error.failure in RECONNECTABLE and progress.reconnects < MAX_RECONNECTS:
@@ -77,25 +77,27 @@
     return NextStep.ELSEWHERE if _may_run_again(progress, budget) else NextStep.GIVE_UP
 
 
-def _follow_silence(
-    progress: RunProgress, budget: RetryBudget, has_other: Callable[[], bool]
+def _decide_after_silence(
+    progress: RunProgress, budget: RetryBudget, has_alternative: Callable[[], bool]
 ) -> NextStep:
-    # Shows as healthy answers cut: a slow upstream is silent too, and a run that may not move
-    # is served by waiting or not at all. A connection that breaks ends it, or its deadline.
-    if progress.attempts >= MAX_LEFT_RUNS or progress.reconnects < _limit_waits(progress):
+    # A slow upstream is silent too, so a run that may not move keeps waiting: giving up would
+    # cut healthy responses. It ends when its connection breaks or its deadline passes.
+    if progress.attempts >= MAX_SILENCE_ATTEMPTS or progress.reconnects < _get_reconnect_limit(
+        progress
+    ):
         return NextStep.SAME
-    moves = has_other() and _may_run_again(progress, budget)
-    return NextStep.ELSEWHERE if moves else NextStep.SAME
+    may_move = has_alternative() and _may_run_again(progress, budget)
+    return NextStep.ELSEWHERE if may_move else NextStep.SAME
 
 
 def _may_run_again(progress: RunProgress, budget: RetryBudget) -> bool:
-    # A stream with tokens out goes on without the budget: to cut it would be the greater harm,
-    # and it cannot storm, since the attempts of each stream are bounded.
+    # A stream that has sent tokens continues without the retry budget, as cutting it would do
+    # more harm. This cannot cause a retry storm: the attempts of each stream are bounded.
     return progress.last_index >= 0 or budget.try_spend()
 
 
-def _limit_waits(progress: RunProgress) -> int:
-    # A long queue at an upstream is silent too. Moved on after a few seconds, every waiting
-    # request would lose its place and join another queue, which makes an overload worse; a new
-    # connection by id keeps the place and still finds out whether the old one was dead.
+def _get_reconnect_limit(progress: RunProgress) -> int:
+    # A request in a long queue is silent too. If it moved after a few seconds it would lose its
+    # place and join another queue, which worsens an overload. A new connection by id keeps the
+    # place and still detects whether the old connection was dead.
     return MAX_RECONNECTS if progress.last_index >= 0 else MAX_WAITING_RECONNECTS
--- a/goldcreststair/components/online/service.py
+++ b/goldcreststair/components/online/service.py
@@ -1,4 +1,4 @@
-"""Online requests from admission to the whole answer."""
+"""Runs online requests, from admission to the complete response."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -33,10 +33,10 @@
 
 
 class OnlineService:
-    """Admits, runs under claims where need be, and ends what lost its key."""
+    """Admits requests, runs them, under a claim where needed, and ends those of withdrawn keys."""
 
     def __init__(self, core: Core) -> None:
-        """Use the components set up before."""
+        """Look up the components that are set up earlier."""
         self._clock = core.clock
         self._statistics = core.statistics
         self._journal = core.journal
@@ -54,14 +54,14 @@
         self._generation_runs: dict[str, asyncio.Task[object]] = {}
 
     async def async_start(self) -> None:
-        """Take part in graceful shutdowns."""
+        """Register for graceful shutdowns."""
         self._drainables.append(self)
 
     async def async_drain(self, deadline_ms: int) -> None:
-        """Return when nothing is in flight, runs whose caller has left included.
+        """Wait until nothing is in flight, including runs whose caller has disconnected.
 
-        A claimed run goes on without its caller; a VM that went away in the middle of it would
-        leave a booking whose outcome nobody knows.
+        A claimed run continues without its caller. A VM that stopped during it would leave a
+        call with an unknown outcome.
         """
         while self.count_in_flight():
             if self._clock.now() >= deadline_ms:
@@ -69,20 +69,20 @@
             await self._clock.async_sleep(DRAIN_POLL_MS)
 
     async def async_close(self) -> None:
-        """Refuse who waits and end what runs."""
+        """Refuse queued requests and end running ones."""
         self._gate.close()
         self._meter.close()
         await self._claimed.async_close()
         await self._generations.async_close()
 
     def count_in_flight(self) -> int:
-        """Return the requests that a stop must wait for, those without a caller included."""
+        """Return how many requests a stop must wait for, including those without a caller."""
         return self._in_flight + self._claimed.count_orphans()
 
     async def async_generate(
         self, request: GenerateRequest, sink: StreamSink
     ) -> Result[GenerateEnd, Refusal]:
-        """Run one request; streamed chunks go to the sink."""
+        """Run one inference request; streamed chunks go to `sink`."""
         run = self._async_generate(request, sink)
         return await self._async_guard(request.identity, request.request_id, run)
 
@@ -94,17 +94,17 @@
     async def _async_guard(
         self, identity: Identity, request_id: str, run: Awaitable[Result[T, Refusal]]
     ) -> Result[T, Refusal]:
-        """Run while the key holds; a withdrawal ends the request at once."""
+        """Run while the key is valid; withdrawing the key ends the request at once."""
         task = asyncio.ensure_future(run)
 
-        def end() -> None:
+        def cancel() -> None:
             self._withdrawn_runs.add(request_id)
-            detached = self._generation_runs.get(request_id)
-            if detached is not None:
-                detached.cancel()
+            claimed_run = self._generation_runs.get(request_id)
+            if claimed_run is not None:
+                claimed_run.cancel()
             task.cancel()
 
-        unwatch = self._keys.watch(identity.key_hash, end)
+        unwatch = self._keys.watch(identity.key_hash, cancel)
         self._count(1)
         began = self._clock.now()
         try:
@@ -227,7 +227,7 @@
 async def _async_replay(
     request: GenerateRequest, recorder: StreamRecorder, sink: StreamSink, outcome: Outcome
 ) -> Result[GenerateEnd, Refusal]:
-    """Give the outcome to the caller, unless its own run streamed it already."""
+    """Send the outcome to the caller, unless its own run has already streamed it."""
     if not request.stream:
         return Ok(GenerateEnd(outcome.body, 0, -1))
     if not recorder.first_token_seen:
--- a/goldcreststair/components/online/stream.py
+++ b/goldcreststair/components/online/stream.py
@@ -1,4 +1,4 @@
-"""Joins the runs of one streamed answer: no token twice, none left out."""
+"""Joins the runs of one streamed response, without duplicate or missing tokens."""
 
 import orjson
 
@@ -12,25 +12,25 @@
 
 
 class StreamRecorder:
-    """Passes chunks on in order and remembers them for a resumption or a later resend."""
+    """Forwards chunks in order and keeps them for a resumption or a later resend."""
 
     def __init__(self, sink: StreamSink, clock: Clock) -> None:
-        """Pass on to `sink`."""
+        """Forward chunks to `sink`."""
         self.first_token_at: Millis | None = None
         self._clock = clock
         self.last_index = -1
         self.gap = False
-        """Whether the present run left tokens out; nothing of it is passed on after that."""
+        """Whether the current run skipped tokens; the rest of that run is then dropped."""
         self._sink = sink
-        self._pieces: list[bytes] = []
+        self._events: list[bytes] = []
 
     async def async_accept(self, chunk: StreamChunk) -> None:
-        """Take one chunk of the present run."""
+        """Forward the new tokens of a chunk of the current run."""
         if self.gap:
             return
         first = chunk.last_index - chunk.tokens + 1
-        # Shows as a word missing or doubled in a caller's text after a resumption; the index
-        # of each token says where it belongs, whichever connection brought it.
+        # The index of each token gives its position, whichever connection delivered it. Without
+        # this check a resumed stream could lose or repeat words.
         if first > self.last_index + 1:
             self.gap = True
             return
@@ -41,24 +41,24 @@
         self.last_index = chunk.last_index
         if self.first_token_at is None:
             self.first_token_at = self._clock.now()
-        self._pieces.append(chunk.data)
+        self._events.append(chunk.data)
         await self._sink.async_accept(chunk)
 
     @property
     def first_token_seen(self) -> bool:
-        """Whether any token was passed on."""
+        """Whether any token has been forwarded."""
         return self.first_token_at is not None
 
     def begin_run(self) -> None:
-        """Forget a gap of the run before."""
+        """Clear the gap flag of the previous run."""
         self.gap = False
 
     def read_data(self) -> bytes:
-        """Return every event passed on."""
-        return b"".join(self._pieces)
+        """Return all events forwarded so far."""
+        return b"".join(self._events)
 
     def read_text(self) -> str:
-        """Return the text of the tokens passed on."""
+        """Return the text of all tokens forwarded so far."""
         return "".join(_read_text(event) for event in self.read_data().split(EVENT_END) if event)
 
 
--- a/goldcreststair/components/routing/__init__.py
+++ b/goldcreststair/components/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Which upstream runs a request."""
+"""Chooses the upstream that runs a request."""
 
 from goldcreststair.components.routing.controller import AffinityRouter
 from goldcreststair.components.routing.poller import UpstreamPoller
@@ -7,7 +7,7 @@
 
 
 async def async_setup(core: Core) -> Component:
-    """Set up the router and what feeds it."""
+    """Create the router and the poller that keeps it up to date."""
     router = AffinityRouter(core)
     core.offer(ROUTER, router)
     return UpstreamPoller(core, router)
--- a/goldcreststair/components/routing/controller.py
+++ b/goldcreststair/components/routing/controller.py
@@ -1,4 +1,4 @@
-"""Chooses upstreams: bounded-load affinity first, the less loaded of two otherwise; no I/O."""
+"""Chooses upstreams by bounded-load affinity, else the less loaded of two; no I/O."""
 
 import random
 from collections.abc import Mapping, Sequence
@@ -9,16 +9,16 @@
 from goldcreststair.blackboard import Blackboard
 from goldcreststair.clock import Millis
 from goldcreststair.components.configuration.models import CONFIGURATION, Configuration
-from goldcreststair.components.routing.beliefs import CacheBeliefs
 from goldcreststair.components.routing.const import (
-    ASKED_LIFETIME_MS,
-    BELIEVED_SLACK,
     BOUND_FACTOR,
     DEPARTURE_GRACE_MS,
+    ESTIMATED_SLACK,
+    MODEL_IDLE_MS,
     OWN_SLACK,
     SUBSET_SIZE,
 )
-from goldcreststair.components.routing.loads import LoadBook
+from goldcreststair.components.routing.loads import LoadTracker
+from goldcreststair.components.routing.prefix_cache import PrefixCacheTracker
 from goldcreststair.components.routing.protocols import NoUpstream, RouteQuery
 from goldcreststair.components.routing.rendezvous import select_subset
 from goldcreststair.core import Core
@@ -28,27 +28,27 @@
 
 @dataclass(frozen=True, slots=True)
 class _Bounds:
-    """Loads up to which an upstream takes a prompt that it probably has cached."""
+    """Loads up to which an upstream is chosen by affinity."""
 
     own: float
-    believed: float
+    estimated: float
 
-    def allow(self, loads: LoadBook, upstream: Upstream) -> bool:
-        # Reports lag by more than a short request lasts. Bounded by them alone, all VMs sent a
-        # popular prompt to the same favourite until its memory was full; a bound on each VM's
-        # own exact count bounds their sum as well, without any report.
+    def allow(self, loads: LoadTracker, upstream: Upstream) -> bool:
+        # Reports lag by more than the duration of a short request. Bounded by them alone, all VMs
+        # sent a popular prompt to the same upstream until its memory was full. A bound on each
+        # VM's own exact count also bounds their sum, without any report.
         own = loads.read_in_flight(upstream.name)
-        return own <= self.own and loads.estimate(upstream.name) <= self.believed
+        return own <= self.own and loads.estimate(upstream.name) <= self.estimated
 
 
 class AffinityRouter:
-    """Sends like prompts to like upstreams while these are not loaded beyond the mean."""
+    """Routes prompts with equal prefixes to the same upstreams within load bounds."""
 
     def __init__(self, core: Core) -> None:
-        """Start knowing nothing of any load."""
-        self.loads = LoadBook(core.clock)
-        self.beliefs = CacheBeliefs(core.clock)
-        self._board: Blackboard = core.blackboard
+        """Create a router without any known load."""
+        self.loads = LoadTracker(core.clock)
+        self.prefix_cache = PrefixCacheTracker(core.clock)
+        self._blackboard: Blackboard = core.blackboard
         self._random: random.Random = core.random
         self._session_id = core.session_id
         self._data_centre = core.settings.data_centre
@@ -58,31 +58,33 @@
         self._subsets: dict[tuple[str, str], list[Upstream]] = {}
         self._subset_version = -1
         self._clock = core.clock
-        self._asked: dict[str, Millis] = {}
+        self._last_requested: dict[str, Millis] = {}
 
     def choose(self, query: RouteQuery) -> Result[Upstream, NoUpstream]:
-        """Return the upstream that shall run a request."""
-        configuration = self._board.read(CONFIGURATION)
-        able = self._find_able(configuration, query)
-        if not able:
+        """Return the upstream to run a request."""
+        configuration = self._blackboard.read(CONFIGURATION)
+        suitable = self._find_suitable(configuration, query)
+        if not suitable:
             return Err(NoUpstream("no upstream serves this", known=False))
         if query.model:
-            self._asked[query.model] = self._clock.now()
-        opened = [upstream for upstream in able if self._is_open(upstream, configuration, query)]
-        if not opened:
+            self._last_requested[query.model] = self._clock.now()
+        accepting = [
+            upstream for upstream in suitable if self._accepts_work(upstream, configuration, query)
+        ]
+        if not accepting:
             return Err(NoUpstream("no upstream can take this now"))
-        free = [upstream for upstream in opened if upstream.name not in self._isolated]
-        # Suspects leave at least one upstream to everyone else; they wait for one another.
-        if not free or (query.alone and len(free) == 1 and len(opened) > 1):
-            return Err(NoUpstream("upstreams are kept for suspect requests", saturated=True))
+        free = [upstream for upstream in accepting if upstream.name not in self._isolated]
+        # Suspect requests leave at least one upstream to all others, and wait for each other.
+        if not free or (query.alone and len(free) == 1 and len(accepting) > 1):
+            return Err(NoUpstream("upstreams are reserved for suspect requests", saturated=True))
         if query.alone:
             return Ok(min(free, key=lambda upstream: self.loads.read_in_flight(upstream.name)))
-        roomy = [u for u in free if query.admitted or self.loads.has_room(u.name)]
-        if not roomy:
+        with_room = [u for u in free if query.admitted or self.loads.has_room(u.name)]
+        if not with_room:
             return Err(NoUpstream("all upstreams are at their limit", saturated=True))
-        preferred = [u for u in roomy if u.name == query.preferred]
-        chosen = preferred[0] if preferred else self._choose_among(self._prefer_near(roomy), query)
-        self.beliefs.record(chosen.name, query.prefix)
+        preferred = [u for u in with_room if u.name == query.preferred]
+        chosen = preferred[0] if preferred else self._select(self._prefer_local(with_room), query)
+        self.prefix_cache.record(chosen.name, query.prefix)
         return Ok(chosen)
 
     def begin(self, upstream: str) -> None:
@@ -94,112 +96,118 @@
         self.loads.add(upstream, -1)
 
     def isolate(self, upstream: str, request_id: str) -> None:
-        """Keep new work away from an upstream while a suspect runs there."""
+        """Send no new work to an upstream while a suspect request runs there."""
         self._isolated.setdefault(upstream, set()).add(request_id)
 
     def release(self, upstream: str, request_id: str) -> None:
-        """End an isolation."""
+        """End the isolation for one request."""
         suspects = self._isolated.get(upstream, set())
         suspects.discard(request_id)
         if not suspects:
             self._isolated.pop(upstream, None)
 
-    def note_refused(self, upstream: str, model: str = "") -> None:
-        """Note that an upstream said it takes no work, of this model or at all, for a while."""
-        self.loads.note_refused(upstream, model)
+    def mark_refused(self, upstream: str, model: str = "") -> None:
+        """Record that an upstream refused work; without a model, work of all models."""
+        self.loads.mark_refused(upstream, model)
 
     def count_in_flight(self) -> Mapping[str, int]:
         """Return this VM's requests in flight by upstream."""
         return self.loads.read_all_in_flight()
 
     def set_leaving_addresses(self, addresses: frozenset[str]) -> None:
-        """Take the addresses that the platform says are leaving."""
+        """Set the addresses that the platform lists as leaving."""
         now = self._clock.now()
         self._leaving_since = {
             address: self._leaving_since.get(address, now) for address in addresses
         }
 
     def find_departure(self, upstream: Upstream) -> Millis | None:
-        """Return when an upstream that the platform takes away is gone, None if it stays."""
-        since = self._find_listed_leaving(upstream)
+        """Return when an upstream listed as leaving stops serving; None if it stays."""
+        since = self._find_leaving_since(upstream)
         return None if since is None else Millis(since + DEPARTURE_GRACE_MS)
 
     def list_used(self) -> list[Upstream]:
-        """Return this VM's upstreams of all models that were asked for lately."""
-        # At full size a VM may use 40 upstreams of each of 24 models. Polled all at the bounded
-        # rate, every report would be older than its lifetime, so idle models are left out.
-        configuration = self._board.read(CONFIGURATION)
-        horizon = self._clock.now() - ASKED_LIFETIME_MS
-        self._asked = {model: at for model, at in self._asked.items() if at > horizon}
+        """Return this VM's upstreams of all models requested within `MODEL_IDLE_MS`."""
+        # At full size a VM may use 40 upstreams of each of 24 models. Polling all of them at the
+        # bounded rate would let reports exceed their lifetime, so idle models are left out.
+        configuration = self._blackboard.read(CONFIGURATION)
+        horizon = self._clock.now() - MODEL_IDLE_MS
+        self._last_requested = {
+            model: at for model, at in self._last_requested.items() if at > horizon
+        }
         used = {
             upstream.name: upstream
-            for model in self._asked
-            for upstream in self._find_able(configuration, RouteQuery(model=model))
+            for model in self._last_requested
+            for upstream in self._find_suitable(configuration, RouteQuery(model=model))
         }
         return list(used.values())
 
-    def _find_able(self, configuration: Configuration, query: RouteQuery) -> list[Upstream]:
+    def _find_suitable(self, configuration: Configuration, query: RouteQuery) -> list[Upstream]:
         if configuration.version != self._subset_version:
             self._subsets.clear()
             self._subset_version = configuration.version
         key = (query.model, query.service)
         if key not in self._subsets:
-            able = [u for u in configuration.upstreams.values() if _fits(u, query)]
+            suitable = [u for u in configuration.upstreams.values() if _is_suitable(u, query)]
             self._subsets[key] = select_subset(
-                able, self._session_id, self._data_centre, SUBSET_SIZE
+                suitable, self._session_id, self._data_centre, SUBSET_SIZE
             )
         return self._subsets[key]
 
-    def _is_open(self, upstream: Upstream, configuration: Configuration, query: RouteQuery) -> bool:
+    def _accepts_work(
+        self, upstream: Upstream, configuration: Configuration, query: RouteQuery
+    ) -> bool:
         return (
             upstream.name not in query.excluded
             and upstream.name not in configuration.leaving_upstreams
-            and self._find_listed_leaving(upstream) is None
+            and self._find_leaving_since(upstream) is None
             and self.loads.is_open(upstream.name, query.model)
         )
 
-    def _find_listed_leaving(self, upstream: Upstream) -> Millis | None:
+    def _find_leaving_since(self, upstream: Upstream) -> Millis | None:
         if upstream.address in self._leaving_since:
             return self._leaving_since[upstream.address]
         host = upstream.address.rpartition(":")[0]
-        # Nothing of ours runs on upstream VMs. Where an upstream shares our own IP number, the
-        # whole fleet stands on one machine, and a leaving daemon must not take it along.
+        # Daemons do not run on upstream VMs. If an upstream has this daemon's own IP number, the
+        # whole fleet runs on one machine, and a leaving daemon must not mark it as leaving.
         return None if host == self._own_address else self._leaving_since.get(host)
 
-    def _prefer_near(self, free: Sequence[Upstream]) -> Sequence[Upstream]:
+    def _prefer_local(self, free: Sequence[Upstream]) -> Sequence[Upstream]:
         return [u for u in free if u.data_centre == self._data_centre] or free
 
-    def _choose_among(self, upstreams: Sequence[Upstream], query: RouteQuery) -> Upstream:
+    def _select(self, upstreams: Sequence[Upstream], query: RouteQuery) -> Upstream:
         if query.prefix:
-            found = self._find_favourite(upstreams, query)
+            found = self._find_by_affinity(upstreams, query)
             if found is not None:
                 return found
-        two = self._random.sample(upstreams, min(2, len(upstreams)))
-        return min(two, key=lambda upstream: self.loads.estimate(upstream.name))
+        candidates = self._random.sample(upstreams, min(2, len(upstreams)))
+        return min(candidates, key=lambda upstream: self.loads.estimate(upstream.name))
 
-    def _find_favourite(self, upstreams: Sequence[Upstream], query: RouteQuery) -> Upstream | None:
+    def _find_by_affinity(
+        self, upstreams: Sequence[Upstream], query: RouteQuery
+    ) -> Upstream | None:
         ranked = sorted(
             upstreams,
             key=lambda upstream: score(query.model, query.prefix, upstream.name),
             reverse=True,
         )
         bounds = self._make_bounds(upstreams)
-        warm = [u for u in ranked[1:] if self.beliefs.holds(u.name, query.prefix)]
-        allowed = [u for u in (ranked[0], *warm) if bounds.allow(self.loads, u)]
-        # A popular prompt has spilled over and is warm in several places: the least loaded goes
-        # first, the better ranked among equals, so that rare prompts keep to their favourite.
+        cached = [u for u in ranked[1:] if self.prefix_cache.holds(u.name, query.prefix)]
+        allowed = [u for u in (ranked[0], *cached) if bounds.allow(self.loads, u)]
+        # A popular prompt has spilled over and is cached at several upstreams: take the least
+        # loaded, among equals the better ranked, so that rare prompts stay at the first one.
         return min(allowed, key=lambda u: self.loads.read_in_flight(u.name), default=None)
 
     def _make_bounds(self, upstreams: Sequence[Upstream]) -> _Bounds:
         own = sum(self.loads.read_in_flight(upstream.name) for upstream in upstreams)
-        believed = sum(self.loads.estimate(upstream.name) for upstream in upstreams)
+        estimated = sum(self.loads.estimate(upstream.name) for upstream in upstreams)
         return _Bounds(
             own=own / len(upstreams) * BOUND_FACTOR + OWN_SLACK,
-            believed=believed / len(upstreams) * BOUND_FACTOR + BELIEVED_SLACK,
+            estimated=estimated / len(upstreams) * BOUND_FACTOR + ESTIMATED_SLACK,
         )
 
 
-def _fits(upstream: Upstream, query: RouteQuery) -> bool:
+def _is_suitable(upstream: Upstream, query: RouteQuery) -> bool:
     if query.service:
         return upstream.service == query.service
     return query.model in upstream.served_names
--- a/goldcreststair/components/routing/loads.py
+++ b/goldcreststair/components/routing/loads.py
@@ -1,4 +1,4 @@
-"""What this VM believes of each upstream's load; no I/O."""
+"""Estimates the load of each upstream; no I/O."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -28,21 +28,24 @@
     report: LoadReport | None = None
     report_at: Millis = Millis(0)
     others: float = 0.0
-    """Requests of other VMs when the report was made."""
+    """Requests of other VMs at the time of the report."""
     refused_until: dict[str, Millis] = field(default_factory=dict)
-    """By model; the empty one stands for all."""
+    """By model; the empty name stands for all models."""
 
 
-class LoadBook:
-    """Own requests in flight, exact, and other VMs' from lagged reports, discounted by age."""
+class LoadTracker:
+    """Tracks own requests in flight exactly, and other VMs' by delayed reports.
+
+    Reported requests are discounted by the age of the report.
+    """
 
     def __init__(self, clock: Clock) -> None:
-        """Start knowing nothing."""
+        """Create a tracker without any load."""
         self._clock = clock
         self._loads: dict[str, _UpstreamLoad] = {}
 
     def add(self, upstream: str, change: int) -> None:
-        """Change this VM's requests in flight at an upstream."""
+        """Change the number of this VM's requests in flight at an upstream."""
         load = self._loads.setdefault(upstream, _UpstreamLoad())
         load.in_flight += change
         now = self._clock.now()
@@ -50,33 +53,33 @@
         while len(load.history) > 1 and load.history[1].at <= now - HISTORY_MS:
             load.history.popleft()
 
-    def take_report(self, upstream: str, report: LoadReport) -> None:
-        """Take a report, which shows the load as it stood a lag ago."""
+    def apply_report(self, upstream: str, report: LoadReport) -> None:
+        """Apply a report, which shows the load as it was `REPORT_LAG_MS` ago."""
         load = self._loads.setdefault(upstream, _UpstreamLoad())
         made_at = Millis(self._clock.now() - REPORT_LAG_MS)
-        # A report counts our own requests too. Taken as it is, a burst of ours would count
-        # twice, once from our book and again a lag later from the report.
-        own = _find_in_flight(load, made_at)
+        # A report includes this VM's own requests. If they were not subtracted, a burst would
+        # count twice: once as requests in flight, and again from the delayed report.
+        own = _find_in_flight_at(load, made_at)
         if load.report is None or report.sequence != load.report.sequence:
             load.report_at = made_at
         load.report = report
         load.others = max(0.0, report.running + report.waiting - own)
 
-    def forget_report(self, upstream: str) -> None:
-        """Drop a report whose upstream cannot be reached."""
+    def discard_report(self, upstream: str) -> None:
+        """Discard the report of an upstream that cannot be reached."""
         load = self._loads.get(upstream)
         if load is not None:
             load.report, load.others = None, 0.0
 
-    def note_refused(self, upstream: str, model: str = "") -> None:
-        """Give an upstream no new work of a model for a while, or none at all without one."""
+    def mark_refused(self, upstream: str, model: str = "") -> None:
+        """Send an upstream no work of a model for `REFUSED_MS`; without a model, none at all."""
         load = self._loads.setdefault(upstream, _UpstreamLoad())
         now = self._clock.now()
         load.refused_until = {name: at for name, at in load.refused_until.items() if at > now}
         load.refused_until[model] = Millis(now + REFUSED_MS)
 
     def is_open(self, upstream: str, model: str = "") -> bool:
-        """Return whether an upstream may be given work of a model, by its answers and reports."""
+        """Return whether an upstream accepts work of a model, by its responses and reports."""
         load = self._loads.get(upstream)
         if load is None:
             return True
@@ -86,48 +89,48 @@
         report = load.report
         if report is None:
             return True
-        return not report.draining and (not model or not self._lacks(load, report, model))
+        return not report.draining and (not model or not self._lacks_model(load, report, model))
 
     def has_room(self, upstream: str) -> bool:
-        """Return whether one more of this VM's requests may run at an upstream."""
+        """Return whether this VM may send one more request to an upstream."""
         limit = max(MIN_LIMIT, MAX_IN_FLIGHT - self.read_waiting(upstream))
         return self.read_in_flight(upstream) < limit
 
     def read_in_flight(self, upstream: str) -> int:
-        """Return this VM's requests in flight."""
+        """Return the number of this VM's requests in flight at an upstream."""
         load = self._loads.get(upstream)
         return load.in_flight if load else 0
 
     def read_all_in_flight(self) -> dict[str, int]:
-        """Return this VM's requests in flight by upstream, those at zero left out."""
+        """Return this VM's requests in flight by upstream, without those that have none."""
         return {name: load.in_flight for name, load in self._loads.items() if load.in_flight}
 
     def estimate(self, upstream: str) -> float:
-        """Return the requests believed to be at an upstream now."""
+        """Return the estimated number of requests at an upstream now."""
         load = self._loads.get(upstream)
         if load is None:
             return 0.0
-        return load.in_flight + load.others * self._weigh(load)
+        return load.in_flight + load.others * self._compute_report_weight(load)
 
     def read_waiting(self, upstream: str) -> int:
-        """Return the reported queue, discounted by age."""
+        """Return the reported queue length, discounted by the age of the report."""
         load = self._loads.get(upstream)
         if load is None or load.report is None:
             return 0
-        return int(load.report.waiting * self._weigh(load))
+        return int(load.report.waiting * self._compute_report_weight(load))
 
-    def _lacks(self, load: _UpstreamLoad, report: LoadReport, model: str) -> bool:
-        # Shows as refusals although the model was loaded long ago: engines of idle models are not
-        # polled, so an old report says nothing. A request tried in vain is refused and repeated.
+    def _lacks_model(self, load: _UpstreamLoad, report: LoadReport, model: str) -> bool:
+        # Engines of idle models are not polled, so an old report may miss a model that was loaded
+        # since. A request sent to an engine without the model is refused and retried elsewhere.
         fresh = self._clock.now() - load.report_at < REPORT_LIFETIME_MS
         return fresh and model not in report.models and model not in report.adapters
 
-    def _weigh(self, load: _UpstreamLoad) -> float:
+    def _compute_report_weight(self, load: _UpstreamLoad) -> float:
         age = self._clock.now() - load.report_at
         return max(0.0, 1.0 - age / REPORT_LIFETIME_MS)
 
 
-def _find_in_flight(load: _UpstreamLoad, at: Millis) -> int:
+def _find_in_flight_at(load: _UpstreamLoad, at: Millis) -> int:
     found = 0
     for sample in load.history:
         if sample.at > at:
--- a/goldcreststair/components/routing/poller.py
+++ b/goldcreststair/components/routing/poller.py
@@ -1,4 +1,4 @@
-"""Reads load reports and cache events at a bounded rate, and follows the list of VMs."""
+"""Reads load reports and cache events at a bounded rate, and tracks the list of VMs."""
 
 import asyncio
 import logging
@@ -21,10 +21,10 @@
 
 
 class UpstreamPoller:
-    """Posts to the router what upstreams and the platform say."""
+    """Updates the router from the reports of upstreams and the platform's list of VMs."""
 
     def __init__(self, core: Core, router: AffinityRouter) -> None:
-        """Bind to the router; nothing runs yet."""
+        """Use `router`; nothing runs yet."""
         self._core = core
         self._router = router
         self._tasks: list[asyncio.Task[None]] = []
@@ -32,7 +32,7 @@
         self._unsubscribe: Callable[[], None] = lambda: None
 
     async def async_start(self) -> None:
-        """Begin polling and follow the platform's list."""
+        """Start polling and subscribe to the platform's list."""
         board = self._core.blackboard
         self._unsubscribe = board.subscribe(LEAVING_ADDRESSES, self._on_leaving)
         known = board.find(LEAVING_ADDRESSES)
@@ -43,7 +43,7 @@
         ]
 
     async def async_close(self) -> None:
-        """End polling."""
+        """Stop polling."""
         self._unsubscribe()
         for task in self._tasks:
             task.cancel()
@@ -51,7 +51,7 @@
         self._tasks.clear()
 
     async def async_poll_upstreams(self) -> None:
-        """Ask each upstream once, spread over the time that the bounded rate takes."""
+        """Poll each upstream once, at `MAX_POLLS_PER_S` at most."""
         self._polls += 1
         upstreams = [u for u in self._router.list_used() if u.kind is UpstreamKind.ENGINE]
         size = max(1, MAX_POLLS_PER_S // 2)
@@ -68,22 +68,22 @@
         engines = self._core.upstreams.engines
         report = await engines.async_read_load(upstream)
         if isinstance(report, Err):
-            self._router.loads.forget_report(upstream.name)
+            self._router.loads.discard_report(upstream.name)
             return
-        self._router.loads.take_report(upstream.name, report.ok_value)
+        self._router.loads.apply_report(upstream.name, report.ok_value)
         if self._polls % EVENT_PERIOD_POLLS:
             return
-        after = self._router.beliefs.read_sequence(upstream.name)
+        after = self._router.prefix_cache.read_sequence(upstream.name)
         events = await engines.async_read_cache_events(upstream, after)
         if not isinstance(events, Err):
-            self._router.beliefs.take_events(upstream.name, events.ok_value)
+            self._router.prefix_cache.apply_events(upstream.name, events.ok_value)
 
     async def _async_repeat(self, poll: Callable[[], Awaitable[None]], period_ms: int) -> None:
         while True:
             try:
                 await poll()
             except Exception:
-                # A malformed answer of one upstream must not end the polling of all others.
-                _LOGGER.exception("Polling failed")
+                # A malformed response of one upstream must not stop the polling of all others.
+                _LOGGER.exception("Polling upstreams failed")
             jitter = self._core.random.uniform(0.8, 1.2)
             await self._core.clock.async_sleep(int(period_ms * jitter))
--- a/goldcreststair/components/routing/protocols.py
+++ b/goldcreststair/components/routing/protocols.py
@@ -1,4 +1,4 @@
-"""What other components ask of routing."""
+"""The interface of routing to other components."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -14,38 +14,38 @@
 
 @dataclass(frozen=True, slots=True)
 class NoUpstream(GoldcreststairError):
-    """No upstream can take the request now."""
+    """No upstream can run the request now."""
 
     known: bool = True
-    """False if no upstream is configured for this model or service at all."""
+    """False if no upstream is configured for the model or service."""
     retry_after_ms: int = 1000
     saturated: bool = False
-    """True if upstreams serve this but all run as many of this VM's requests as they may."""
+    """True if all suitable upstreams are at their limit or isolated for suspect requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class RouteQuery:
-    """What a request needs of its upstream."""
+    """Requirements of a request on its upstream."""
 
     model: str = ""
     service: str = ""
     prefix: str = ""
-    """Digest of the prompt's first block, or empty."""
+    """Digest of the beginning of the prompt, or empty."""
     excluded: frozenset[str] = frozenset()
-    """Names of upstreams already tried."""
+    """Names of upstreams that must not be chosen."""
     alone: bool = False
-    """Whether the request is suspected of crashing upstreams, and runs apart from others."""
+    """Whether the request is suspected of crashing upstreams and runs isolated from new work."""
     admitted: bool = False
-    """Whether the request ran before and only moves, so that no limit holds it back."""
+    """Whether the request was admitted before and only moves; limits then do not apply."""
     preferred: str = ""
-    """Name of the upstream that holds the request's KV state: taken if it is open."""
+    """Name of the upstream that holds the request's KV state; chosen if it accepts work."""
 
 
 class Router(Protocol):
     """Chooses upstreams and counts this VM's requests in flight."""
 
     def choose(self, query: RouteQuery) -> Result[Upstream, NoUpstream]:
-        """Return the upstream that shall run a request."""
+        """Return the upstream to run a request."""
 
     def begin(self, upstream: str) -> None:
         """Count a request as in flight."""
@@ -54,16 +54,16 @@
         """Count a request as ended."""
 
     def isolate(self, upstream: str, request_id: str) -> None:
-        """Keep new work away from an upstream while a suspect runs there."""
+        """Send no new work to an upstream while a suspect request runs there."""
 
     def release(self, upstream: str, request_id: str) -> None:
-        """End an isolation."""
+        """End the isolation for one request."""
 
-    def note_refused(self, upstream: str, model: str = "") -> None:
-        """Note that an upstream said it takes no work, of this model or at all, for a while."""
+    def mark_refused(self, upstream: str, model: str = "") -> None:
+        """Record that an upstream refused work; without a model, work of all models."""
 
     def find_departure(self, upstream: Upstream) -> Millis | None:
-        """Return when an upstream that the platform takes away is gone, None if it stays."""
+        """Return when an upstream listed as leaving stops serving; None if it stays."""
 
     def count_in_flight(self) -> Mapping[str, int]:
         """Return this VM's requests in flight by upstream."""
--- a/goldcreststair/components/routing/rendezvous.py
+++ b/goldcreststair/components/routing/rendezvous.py
@@ -1,4 +1,4 @@
-"""Which upstreams one VM uses."""
+"""Selects the upstreams that one VM uses."""
 
 from collections.abc import Iterable
 
@@ -9,7 +9,7 @@
 def select_subset(
     upstreams: Iterable[Upstream], session_id: str, data_centre: str, size: int
 ) -> list[Upstream]:
-    """Return the upstreams one VM uses: those of its data centre first, then others by rank."""
+    """Return `size` upstreams at most: those of the data centre first, then by rendezvous rank."""
 
     def rank(upstream: Upstream) -> tuple[bool, int]:
         return upstream.data_centre == data_centre, score(session_id, data_centre, upstream.name)
--- a/tests/components/online/test_admission.py
+++ b/tests/components/online/test_admission.py
@@ -1,4 +1,4 @@
-"""Fair queues, deadlines, poison and leaving upstreams."""
+"""Tests of fair queueing, deadlines, crashing requests and leaving upstreams."""
 
 import asyncio
 from dataclasses import replace
@@ -35,11 +35,11 @@
     assert (taken.count("a"), taken.count("b")) == expected
 
 
-def test_busy_customer_does_not_hold_up_the_other(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One customer sends five times the other's requests, and both wait for one upstream.
+def test_busy_customer_does_not_delay_the_other(monkeypatch: pytest.MonkeyPatch) -> None:
+    """One customer sends five times the requests of the other, and both wait for one upstream.
 
-    First come first served, the small customer would wait behind all of the busy one's work;
-    served in turn, its last request is answered when about twice its own work is done.
+    In order of arrival the small customer would wait behind all requests of the busy one. With
+    fair queueing its last request ends when about twice its own work is done.
     """
     monkeypatch.setattr(loads, "MAX_IN_FLIGHT", 2)
     ended: list[str] = []
@@ -63,10 +63,10 @@
 def test_request_that_cannot_meet_its_deadline_is_refused_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A burst fills the queue, and a caller sends a request that must be done in 300 ms.
+    """A burst fills the queue, and a caller sends a request with a deadline of 300 ms.
 
-    Told at its deadline, it could ask nobody else any more; it must be told at once that it
-    did not run and when to come back.
+    Refused at its deadline, the caller could not try another VM any more. So it must be refused
+    at once, as not run and with a time to retry.
     """
     monkeypatch.setattr(loads, "MAX_IN_FLIGHT", 2)
 
@@ -91,11 +91,11 @@
     run_virtual(async_test())
 
 
-def test_poison_is_found_and_the_innocent_finish() -> None:
-    """One request crashes each upstream that runs it, and its caller sends it again elsewhere.
+def test_crashing_request_is_quarantined_and_others_finish() -> None:
+    """A request crashes each upstream that runs it, and its caller resends it to another VM.
 
-    Those that ran beside it must finish; it must be quarantined in the whole fleet, so that
-    its resend to another VM crashes nothing.
+    Requests that ran beside it must finish. It must be quarantined in the whole fleet, so that
+    the resend to another VM crashes nothing.
     """
 
     async def async_test() -> None:
@@ -107,7 +107,7 @@
         for engine in vm.upstreams.engines.values():
             engine.faults.crash_marker = "poison"
         sinks = [RecordingSink() for _ in range(12)]
-        innocent = [
+        unaffected = [
             asyncio.create_task(vm.async_generate(f"r{n}", sink, prompt=f"p{n}", max_tokens=100))
             for n, sink in enumerate(sinks)
         ]
@@ -116,7 +116,7 @@
         assert isinstance(poisoned, Err)
         assert poisoned.err_value.code is RefusalCode.QUARANTINED
         assert not poisoned.err_value.not_run
-        for outcome in await asyncio.gather(*innocent):
+        for outcome in await asyncio.gather(*unaffected):
             assert isinstance(outcome, Ok)
         assert all(sink.data.count(b"id: ") == 100 for sink in sinks)
         crashes = sum(engine.crashes for engine in vm.upstreams.engines.values())
@@ -133,9 +133,9 @@
 
 
 def test_waiting_suspects_are_placed_one_to_an_upstream() -> None:
-    """Three suspects wait, and two upstreams become free in the same moment.
+    """Three suspect requests wait, and two upstreams become free at the same time.
 
-    Placed together, the innocent one would be blamed for the crash of the other.
+    If suspects shared an upstream, one could be blamed for the crash of another.
     """
 
     async def async_test() -> None:
@@ -160,7 +160,10 @@
 
 
 def test_waiting_requests_are_answered_when_their_model_is_withdrawn() -> None:
-    """A waiting request hangs for good: a patch withdrew its model, and another one came first."""
+    """Guards against a waiting request that hangs after a patch removed its model.
+
+    Another request for the model, which is refused first, must not remove its queue.
+    """
 
     async def async_test() -> None:
         vm = OnlineVm()
@@ -183,7 +186,7 @@
     run_virtual(async_test())
 
 
-async def async_leave(vm: OnlineVm, how: str) -> None:
+async def async_take_out(vm: OnlineVm, how: str) -> None:
     if how == "configuration":
         vm.apply(leaving_upstreams={"e0": True})
     if how == "report":
@@ -194,9 +197,9 @@
 
 @pytest.mark.parametrize("how", ["configuration", "report", "platform"])
 def test_leaving_upstream_gets_no_new_work(how: str) -> None:
-    """An upstream is taken out for maintenance while callers are served.
+    """An upstream is taken out of service while callers are served.
 
-    Three seconds later it must be given nothing new, and what runs there must finish.
+    Three seconds later it must get no new requests, and those running there must finish.
     """
 
     async def async_test() -> None:
@@ -207,7 +210,7 @@
             for n in range(8)
         ]
         await asyncio.sleep(0.5)
-        await async_leave(vm, how)
+        await async_take_out(vm, how)
         before = [await vm.async_generate(f"s{n}", prompt=f"q{n}", max_tokens=2) for n in range(8)]
         await asyncio.sleep(3)
         sent = len(vm.upstreams.calls)
@@ -222,10 +225,10 @@
 
 
 def test_pressure_shows_a_burst_at_once_and_its_end() -> None:
-    """A burst of online requests comes and ends while a digest job waits.
+    """A burst of online requests begins and ends while a batch job waits.
 
-    The section must show its onset at once, so that batch yields, and its end soon after; left
-    at the last throttled word, it would hold the digest back for good.
+    The section must show the onset at once, so that batch is preempted, and the end soon after.
+    If it kept the last throttled value, it would block batch for good.
     """
 
     async def async_test() -> None:
--- a/tests/components/online/test_levels.py
+++ b/tests/components/online/test_levels.py
@@ -1,4 +1,4 @@
-"""What counts against a customer's objectives."""
+"""Tests of what counts against a customer's objectives."""
 
 import pytest
 from result import Err, Ok, Result
@@ -11,7 +11,7 @@
 from tests.helpers.cores import make_core
 from tests.helpers.virtual_time import ManualClock
 
-WHOLE = Ok(GenerateEnd(b"", 1, 0))
+COMPLETE = Ok(GenerateEnd(b"", 1, 0))
 
 
 class RecordingLevels:
@@ -25,15 +25,15 @@
 @pytest.mark.parametrize(
     ("ended", "first_token_at", "seen"),
     [
-        (WHOLE, Millis(1_000_040), [("acme", 40)]),
-        (WHOLE, None, [("acme", 900)]),
+        (COMPLETE, Millis(1_000_040), [("acme", 40)]),
+        (COMPLETE, None, [("acme", 900)]),
         (Err(Refusal("late", RefusalCode.DEADLINE)), None, [("acme", None)]),
         (Err(Refusal("broken", RefusalCode.UPSTREAM_FAILED)), Millis(1), [("acme", None)]),
         (Err(Refusal("over its rate", RefusalCode.RATE_LIMITED)), None, []),
         (Err(Refusal("bad", RefusalCode.INVALID_REQUEST)), None, []),
     ],
 )
-def test_counts_what_is_ours(
+def test_counts_only_failures_not_caused_by_the_caller(
     ended: Result[GenerateEnd, Refusal],
     first_token_at: Millis | None,
     seen: list[tuple[str, int | None]],
--- a/tests/components/online/test_moves.py
+++ b/tests/components/online/test_moves.py
@@ -1,4 +1,4 @@
-"""Streams at an upstream that the platform takes away go on elsewhere."""
+"""Tests that streams at an upstream listed as leaving continue elsewhere."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class Departure:
-    """A stream under way whose upstream the platform begins to take away."""
+    """A running stream whose upstream the platform lists as leaving."""
 
     def __init__(self, vm: OnlineVm, prompt: str, tokens: int = TOKENS) -> None:
         self.vm = vm
@@ -45,7 +45,7 @@
         events = self.vm.core.journal.find(Subject.REQUEST, "r1")
         return [event.seen["holder"] for event in events if event.choice == "move"]
 
-    async def async_check_whole(self) -> None:
+    async def async_check_complete(self) -> None:
         assert isinstance(await self.running, Ok)
         assert self.sink.read_text() == self.text
         ids = [line for line in self.sink.data.split(b"\n") if line.startswith(b"id: ")]
@@ -59,10 +59,10 @@
 
 @pytest.mark.parametrize(("prompt", "by_kv"), [(SHORT, False), (LONG, True)])
 def test_long_stream_is_moved_before_its_upstream_goes(prompt: str, by_kv: bool) -> None:
-    """The landlord takes an engine's VM away while a designer reads a long brief.
+    """The platform takes an engine's VM away during a long stream.
 
-    The platform's list says leaving; twenty seconds later the engine is gone. The stream must
-    have moved by then, with no token doubled or lost, and no crash to be blamed on anyone.
+    Twenty seconds after it is listed as leaving the engine is gone. By then the stream must have
+    moved, without repeated or missing tokens, and no request may be blamed for a crash.
     """
 
     async def async_test() -> None:
@@ -72,7 +72,7 @@
         source = await departure.async_begin()
         await asyncio.sleep(DEPARTURE_GRACE_MS / 1000)
         source.crash()
-        await departure.async_check_whole()
+        await departure.async_check_complete()
         assert len(departure.read_addresses()) == 2
         assert departure.read_choices() == ["run", "move", "run", "answered"]
         other = next(a for a in ADDRESSES[:2] if a != departure.read_addresses()[0])
@@ -82,8 +82,8 @@
     run_virtual(async_test())
 
 
-def test_failed_export_falls_back_to_the_text_so_far() -> None:
-    """The departing engine gives out no KV state; the stream must move all the same."""
+def test_failed_export_falls_back_to_prefill() -> None:
+    """The departing engine refuses to export the KV state; the stream must move anyway."""
 
     async def async_test() -> None:
         vm = OnlineVm()
@@ -91,17 +91,17 @@
         departure = Departure(vm, LONG)
         source = await departure.async_begin()
         source.faults.refuse_kv = True
-        await departure.async_check_whole()
+        await departure.async_check_complete()
         assert departure.read_holders() == [""]
 
     run_virtual(async_test())
 
 
 @pytest.mark.parametrize("delay_s", [1.0, 3.0, 3.4, 5.0])
-def test_engine_that_dies_during_the_move(delay_s: float) -> None:
-    """The engine is gone sooner than the platform said, in the middle of the export.
+def test_engine_that_stops_during_the_move(delay_s: float) -> None:
+    """The engine is gone earlier than the platform announced, during the KV export.
 
-    The caller must notice nothing but a pause, at whatever moment it dies.
+    Whenever that happens, the caller must notice nothing but a pause.
     """
 
     async def async_test() -> None:
@@ -114,7 +114,7 @@
         await asyncio.sleep(delay_s)
         vm.upstreams.unreachable.add(departure.read_addresses()[0])
         source.crash()
-        await departure.async_check_whole()
+        await departure.async_check_complete()
 
     run_virtual(async_test())
 
@@ -125,30 +125,30 @@
         await vm.async_setup(engines=2)
         departure = Departure(vm, SHORT, tokens=800)
         await departure.async_begin()
-        await departure.async_check_whole()
+        await departure.async_check_complete()
         assert len(departure.read_addresses()) == 1
 
     run_virtual(async_test())
 
 
-def test_stream_with_nowhere_to_go_stays() -> None:
-    """Every engine that serves the model departs: a stream ended early would be a cut one."""
+def test_stream_without_another_upstream_stays() -> None:
+    """Every engine that serves the model departs; ending the stream early would cut it."""
 
     async def async_test() -> None:
         vm = OnlineVm()
         await vm.async_setup(engines=1)
         departure = Departure(vm, SHORT, tokens=1400)
         await departure.async_begin()
-        await departure.async_check_whole()
+        await departure.async_check_complete()
         assert len(departure.read_addresses()) == 1
 
     run_virtual(async_test())
 
 
 def test_slow_caller_loses_nothing_in_a_move() -> None:
-    """A caller reads slowly, so that a chunk is on its way to it when its stream moves.
+    """A caller reads slowly, so that a chunk is being forwarded when its stream moves.
 
-    The chunk counts as given out; cut off half-way, its words would be missing.
+    The chunk is counted as forwarded; cancelled half-way, its words would be missing.
     """
 
     class SlowSink(RecordingSink):
@@ -166,17 +166,17 @@
             vm.async_generate("r1", departure.sink, prompt=SHORT, max_tokens=TOKENS)
         )
         await departure.async_begin()
-        await departure.async_check_whole()
+        await departure.async_check_complete()
         assert "move" in departure.read_choices()
 
     run_virtual(async_test())
 
 
-def test_data_centre_departs_in_one_night() -> None:
+def test_streams_of_a_departing_data_centre_move() -> None:
     """All engines of a data centre but one depart at once, with most of twenty long streams.
 
-    Every stream must have moved when they are gone, without a crash, at an even pace: moved in
-    one wave, the prefills would halt everyone at the engine that stays.
+    By the time they are gone every stream must have moved, without a crash and at an even pace:
+    the prefills of a single wave would stall all streams at the remaining engine.
     """
     streams, tokens = 20, 1800
 
--- a/tests/components/online/test_service.py
+++ b/tests/components/online/test_service.py
@@ -1,4 +1,4 @@
-"""One online request through the real components on stand-ins in process."""
+"""Test of an online request through the real components, on stand-ins in the same process."""
 
 import orjson
 from result import Ok, Result
@@ -37,11 +37,11 @@
     return await core.get(ONLINE).async_generate(request, sink)
 
 
-def test_retries_elsewhere_what_certainly_did_not_run() -> None:
-    """One engine cannot be reached.
+def test_request_that_did_not_run_is_retried_elsewhere() -> None:
+    """One of two engines cannot be reached.
 
-    A caller must not notice: no byte of the request left towards it, so running it on the
-    other engine cannot run it twice.
+    The caller must not notice: no byte of the request was sent to that engine, so the other one
+    can run it without running it twice.
     """
 
     async def async_test() -> None:
--- a/tests/components/online/test_service_calls.py
+++ b/tests/components/online/test_service_calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services under faults: at most once, and truth about "not run"."""
+"""Tests of service calls under faults: run at most once, and a correct "not run"."""
 
 import asyncio
 
@@ -15,11 +15,11 @@
 
 
 @pytest.mark.parametrize("repeatable", [False, True])
-def test_lost_answer_is_repeated_only_where_that_does_no_harm(repeatable: bool) -> None:
-    """A secretary books a ground; the service books it, then the answer is lost.
+def test_lost_response_is_repeated_only_for_repeatable_calls(repeatable: bool) -> None:
+    """A service runs a call, for example a booking, and its response is lost.
 
-    Sent again, a child's team would have two grounds. The booking must end as "outcome
-    unknown", not as "not run", and its resend must not book either; a mere listing is repeated.
+    Repeating a booking would book twice. It must end as "outcome unknown", not as "not run", and
+    a resend must not run it either. A repeatable call is repeated.
     """
 
     async def async_test() -> None:
@@ -47,11 +47,11 @@
     run_virtual(async_test())
 
 
-def test_call_that_did_not_run_is_free_to_move() -> None:
-    """One replica cannot be reached, the other says that it did not run the call.
+def test_call_that_did_not_run_may_move() -> None:
+    """One replica cannot be reached, and the other reports that it did not run the call.
 
-    Neither booked anything: with the refusal gone the second try books once, and while both
-    fail the caller reads a true "not run" and may send again.
+    While both fail, the caller gets a correct "not run" and may resend. Once the second replica
+    accepts calls, the resend runs exactly once.
     """
 
     async def async_test() -> None:
@@ -73,11 +73,10 @@
     run_virtual(async_test())
 
 
-def test_resend_joins_the_run_whose_caller_went_away() -> None:
-    """A caller's connection breaks while its booking runs, and it sends the booking again.
+def test_resend_joins_the_run_of_a_disconnected_caller() -> None:
+    """A caller's connection breaks while its call runs, and the caller resends the call.
 
-    The first run must go on to its end and the resend read its outcome: one booking, one
-    answer, although the connection that began it is gone.
+    The first run must complete without its connection, and the resend must get its outcome.
     """
 
     async def async_test() -> None:
@@ -101,10 +100,10 @@
     run_virtual(async_test())
 
 
-def test_booking_without_claims_is_refused_before_it_runs() -> None:
-    """The store that keeps claims is not there, and a secretary books a ground.
+def test_non_repeatable_call_without_claims_is_refused() -> None:
+    """The store of claims is not available when a call arrives that must run only once.
 
-    Run all the same, a resend could book twice; refused as "not run", the caller may try again.
+    If it ran, a resend could run it twice. Refused as "not run", the caller may retry.
     """
 
     async def async_test() -> None:
@@ -121,12 +120,14 @@
 
 @pytest.mark.parametrize("cause", ["claims cannot be read", "rate is spent"])
 @pytest.mark.parametrize("caller_key", ["k", ""])
-def test_resend_that_is_refused_unread_is_not_called_not_run(cause: str, caller_key: str) -> None:
-    """A ground is booked, the connection breaks, and the secretary sends again under the same key.
-
-    At that moment the store is down, or the customer's rate is spent, so the VM refuses without
-    having read what became of the first send. Told "not run", the secretary would book another
-    ground. Without a key of the caller's no earlier send can be meant.
+def test_resend_refused_without_reading_its_claim_is_not_marked_not_run(
+    cause: str, caller_key: str
+) -> None:
+    """A call runs, its connection breaks, and the caller resends it under the same key.
+
+    The store is down by then, or the customer's rate is spent, so the VM refuses the resend
+    without having read the outcome of the first send. After "not run" the caller would make the
+    booking anew. Without an idempotency key there is no earlier send.
     """
 
     async def async_test() -> None:
@@ -154,18 +155,18 @@
     return vm.core.blackboard.read(CONFIGURATION).customers["acme"]
 
 
-def test_drain_waits_for_a_run_whose_caller_went_away() -> None:
-    """A booking runs under a claim; its caller's connection breaks; then the VM is told to leave.
+def test_drain_waits_for_the_run_of_a_disconnected_caller() -> None:
+    """A call runs under a claim, its caller disconnects, and then the VM drains.
 
-    Stopping at once would cut the run: the ground may be booked, and nobody could say so.
+    Stopping at once would cut the run and leave its outcome unknown.
     """
 
     async def async_test() -> None:
         vm = OnlineVm()
         await vm.async_setup(claims=FakeClaims())
-        record = vm.upstreams.services[SERVICE_ADDRESSES[0]]
-        other = vm.upstreams.services[SERVICE_ADDRESSES[1]]
-        record.delay_ms = other.delay_ms = 3000
+        first = vm.upstreams.services[SERVICE_ADDRESSES[0]]
+        second = vm.upstreams.services[SERVICE_ADDRESSES[1]]
+        first.delay_ms = second.delay_ms = 3000
         service = vm.core.get(ONLINE)
         call = vm.make_call("r1", repeatable=False, key="k1")
         running = asyncio.create_task(service.async_call(call))
@@ -174,7 +175,7 @@
         began = vm.core.clock.now()
         await service.async_drain(began + 60_000)
         assert 2000 <= vm.core.clock.now() - began <= 4000
-        assert len(record.runs) + len(other.runs) == 1
+        assert len(first.runs) + len(second.runs) == 1
         resent = await service.async_call(vm.make_call("r2", repeatable=False, key="k1"))
         assert isinstance(resent, Ok)
         assert service in vm.core.drainables
--- a/tests/components/online/test_silence.py
+++ b/tests/components/online/test_silence.py
@@ -1,4 +1,4 @@
-"""Upstreams that are slow, and send nothing for long, end no answer that they still work on."""
+"""Tests that runs at slow, silent upstreams are not cut while they make progress or cannot move."""
 
 import asyncio
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 async def async_start_slow(vm: OnlineVm, sink: RecordingSink, *, begun: bool) -> Running:
-    """Start an answer at an upstream that makes no progress from its start or from 1 s on."""
+    """Start a request at upstreams that pause from its start, or from 1 s on if `begun`."""
     set_pause(vm, paused=not begun)
     fields = {"max_tokens": TOKENS, "deadline_ms": 600_000}
     running = asyncio.create_task(vm.async_generate("r1", sink, **fields))
@@ -37,8 +37,8 @@
 
 @pytest.mark.parametrize("begun", [False, True])
 @pytest.mark.parametrize("other", ["none", "unreachable", "refusing"])
-def test_slow_answer_is_not_cut(other: str, begun: bool) -> None:
-    """An answer is cut for its upstream's silence although no other upstream can serve it."""
+def test_slow_response_is_not_cut(other: str, begun: bool) -> None:
+    """Guards against cutting a silent run that no other upstream can take over."""
 
     async def async_test() -> None:
         vm = OnlineVm(IdleUpstreams(make_core().clock))
@@ -62,8 +62,8 @@
 @pytest.mark.parametrize(
     "patch", [{}, {"leaving_upstreams": {"e0": True}}, {"upstreams": {}}], ids=repr
 )
-def test_slow_answer_keeps_its_place(patch: dict[str, Any], begun: bool) -> None:
-    """A run that has nowhere to go, perhaps by a patch, is thrown away for its silence."""
+def test_slow_run_without_alternative_is_kept(patch: dict[str, Any], begun: bool) -> None:
+    """Guards against cancelling a silent run that cannot move, for example after a patch."""
 
     async def async_test() -> None:
         vm = OnlineVm(IdleUpstreams(make_core().clock))
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("begun", [False, True])
 def test_silent_run_moves_to_an_upstream_that_refused_it_before(begun: bool) -> None:
-    """A request stays at an upstream that hangs, as another one refused it for a moment."""
+    """Guards against a request that stays at a paused upstream after a brief refusal elsewhere."""
 
     async def async_test() -> None:
         vm = OnlineVm(IdleUpstreams(make_core().clock))
--- a/tests/components/online/test_stream_recorder.py
+++ b/tests/components/online/test_stream_recorder.py
@@ -1,4 +1,4 @@
-"""How the runs of one stream are joined."""
+"""Tests of joining the runs of a stream and of the decisions after a failed run."""
 
 import asyncio
 
@@ -35,10 +35,10 @@
         ([(0, 1), (3, 4), (2, 5)], "w0 w1 ", True),
     ],
 )
-def test_no_token_is_doubled_or_lost(chunks: list[tuple[int, int]], text: str, gap: bool) -> None:
-    """A resumed stream begins a little before, or after, the place where the old one broke.
+def test_no_token_is_repeated_or_lost(chunks: list[tuple[int, int]], text: str, gap: bool) -> None:
+    """A resumed stream begins a little before, or after, the token where the old one broke.
 
-    What was already given out must not come twice; after a hole nothing may be given out.
+    Tokens already sent must not be repeated, and after a gap nothing may be sent.
     """
     sink = RecordingSink()
     recorder = StreamRecorder(sink, ManualClock())
@@ -66,7 +66,7 @@
         (UpstreamFailure.REJECTED, True, -1, 9, NextStep.GIVE_UP),
     ],
 )
-def test_what_follows_a_failure(
+def test_decision_after_a_failure(
     failure: UpstreamFailure, repeatable: bool, last_index: int, budget: int, step: NextStep
 ) -> None:
     progress = RunProgress(repeatable, attempts=1, last_index=last_index)
@@ -84,11 +84,11 @@
         (5, 2, NextStep.ELSEWHERE),
     ],
 )
-def test_waiting_request_keeps_its_place(last_index: int, reconnects: int, step: NextStep) -> None:
-    """An engine's queue is long, and a request in it hears nothing for many seconds.
+def test_queued_request_keeps_its_place(last_index: int, reconnects: int, step: NextStep) -> None:
+    """A request in an engine's long queue gets no data for many seconds.
 
-    Moved on as if its connection were dead, it would lose its place again and again; only
-    after its first token does silence soon mean that it must move.
+    If it moved as after a dead connection, it would lose its place in the queue again and again.
+    Only after the first token does a short silence make it move.
     """
     progress = RunProgress(True, attempts=1, reconnects=reconnects, last_index=last_index)
     error = UpstreamError("x", UpstreamFailure.SILENT)
@@ -106,10 +106,10 @@
         (1, MAX_WAITING_RECONNECTS, -1, 0),
     ],
 )
-def test_silence_does_not_end_what_may_not_move(
+def test_silent_run_that_may_not_move_keeps_waiting(
     attempts: int, reconnects: int, last_index: int, budget: int
 ) -> None:
-    """A slow answer is cut because it is quiet and its runs, or the VM's budget, are spent."""
+    """Guards against cutting a silent run that used all its attempts or the VM's retry budget."""
     progress = RunProgress(True, attempts, reconnects, last_index)
     error = UpstreamError("x", UpstreamFailure.SILENT)
     step = decide_next(progress, error, RetryBudget(capacity=float(budget)), 1000)
--- a/tests/components/online/test_streams.py
+++ b/tests/components/online/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams under faults: the whole answer, each token once."""
+"""Tests that streams under faults are complete, with each token once."""
 
 import asyncio
 from collections.abc import Callable
@@ -33,17 +33,18 @@
     engine.faults.drop_end = True
 
 
-def go_away(engine: EngineModel) -> None:
+def go_down(engine: EngineModel) -> None:
     engine.crash()
     engine.faults.refuse = True
 
 
-@pytest.mark.parametrize("fault", [go_silent, EngineModel.crash, drop_end, go_away])
-def test_stream_goes_on_from_the_last_token(fault: Callable[[EngineModel], None]) -> None:
-    """A designer reads a blurb as it is written; half-way its upstream fails.
+@pytest.mark.parametrize("fault", [go_silent, EngineModel.crash, drop_end, go_down])
+def test_stream_continues_after_the_last_token(fault: Callable[[EngineModel], None]) -> None:
+    """An upstream fails in the middle of a stream.
 
-    The connection goes silent but stays open, or breaks with all its work, or ends without
-    its end marker, or the upstream leaves for good. The text must go on where it stopped, no word twice and none missing.
+    The connection goes silent but stays open, or breaks with all its work, or ends without its
+    end marker, or the upstream is gone for good. The text must continue after the last token
+    sent, without repeated or missing words.
     """
 
     async def async_test() -> None:
@@ -66,10 +67,10 @@
     run_virtual(async_test())
 
 
-def test_crossed_answer_is_thrown_away() -> None:
-    """An upstream sends a customer another customer's answer, under the other's id.
+def test_response_of_another_request_is_discarded() -> None:
+    """An upstream sends the response of another request, under that request's id.
 
-    Nothing of it may reach the caller; asking again brings the right answer.
+    None of it may reach the caller; a new connection delivers the right response.
     """
 
     async def async_test() -> None:
@@ -85,10 +86,10 @@
     run_virtual(async_test())
 
 
-def test_answer_without_end_marker_is_no_answer() -> None:
+def test_response_without_end_marker_is_refused() -> None:
     """Every connection of an upstream closes before the end marker.
 
-    Given out, the part would pass for the whole; the caller must be told that there is none.
+    The partial response must not be returned as complete; the request must fail.
     """
 
     async def async_test() -> None:
@@ -105,9 +106,9 @@
 
 
 def test_withdrawn_key_ends_a_running_stream() -> None:
-    """An operator withdraws a key while its holder reads a stream.
+    """A key is withdrawn while a stream of its caller runs.
 
-    The stream must end at once with the reason, and its upstream must stop working on it.
+    The stream must end at once with the reason, and its upstream must stop the run.
     """
 
     async def async_test() -> None:
@@ -132,10 +133,10 @@
     run_virtual(async_test())
 
 
-def test_caller_that_goes_away_frees_its_upstream() -> None:
-    """A designer closes the page while a long blurb is written.
+def test_disconnected_caller_frees_its_upstream() -> None:
+    """A caller disconnects during a long stream.
 
-    Nobody waits for it any more; left running, it would take the place of others.
+    The run must be cancelled, or it would occupy its upstream for no one.
     """
 
     async def async_test() -> None:
@@ -153,10 +154,10 @@
     run_virtual(async_test())
 
 
-def test_resent_stream_is_answered_from_the_first_run() -> None:
-    """A digest job's stream breaks off at the caller, which sends it again with the same key.
+def test_resent_stream_gets_the_outcome_of_the_first_run() -> None:
+    """A caller's stream breaks, and the caller resends it with the same idempotency key.
 
-    The resend must get the whole text of the first run, which an upstream ran only once.
+    The resend must get the complete text of the first run, which an upstream ran only once.
     """
 
     async def async_test() -> None:
@@ -176,8 +177,8 @@
     run_virtual(async_test())
 
 
-class ShortUpstreams(FakeUpstreams):
-    """Keeps the last chunk of the first stream back, yet sends its end."""
+class LastChunkDroppingUpstreams(FakeUpstreams):
+    """Drops the last chunk of the first stream, but sends its end."""
 
     calls_seen = 0
 
@@ -186,10 +187,12 @@
     ) -> Result[GenerateEnd, UpstreamError]:
         self.calls_seen += 1
         first = self.calls_seen == 1
-        return await super().async_generate(upstream, call, LateSink(sink) if first else sink)
+        return await super().async_generate(
+            upstream, call, LastChunkDroppingSink(sink) if first else sink
+        )
 
 
-class LateSink:
+class LastChunkDroppingSink:
     def __init__(self, sink: StreamSink) -> None:
         self.sink = sink
 
@@ -198,15 +201,15 @@
             await self.sink.async_accept(chunk)
 
 
-def test_an_end_without_the_last_tokens_is_no_whole_answer() -> None:
-    """A blurb stops in the middle of its last sentence, and yet counts as answered.
+def test_stream_end_without_the_last_tokens_is_resumed() -> None:
+    """A stream ends without its last tokens and must not count as complete.
 
-    The upstream's end marker names the last token, but that token never arrived: no hole shows
-    between the chunks, only the end is too early. The run must be resumed for what is missing.
+    The upstream's end names the last token, but that token never arrived. There is no gap between
+    the chunks; the end is just early. The run must be resumed for the missing tokens.
     """
 
     async def async_test() -> None:
-        vm = OnlineVm(ShortUpstreams(LoopClock()))
+        vm = OnlineVm(LastChunkDroppingUpstreams(LoopClock()))
         await vm.async_setup()
         sink = RecordingSink()
         ended = await vm.async_generate("r1", sink, max_tokens=TOKENS)
@@ -219,8 +222,8 @@
 
 @pytest.mark.parametrize("engines", [1, 2])
 @pytest.mark.parametrize("refuses", [False, True])
-def test_stream_waits_for_an_upstream_that_comes_back(refuses: bool, engines: int) -> None:
-    """A stream is cut as every upstream is gone, or refuses, for the seconds of a restart."""
+def test_stream_waits_for_an_upstream_to_recover(refuses: bool, engines: int) -> None:
+    """Guards against cutting a stream while all upstreams restart: unreachable or refusing."""
 
     async def async_test() -> None:
         vm = OnlineVm()
--- a/tests/components/routing/test_controller.py
+++ b/tests/components/routing/test_controller.py
@@ -1,4 +1,4 @@
-"""Which upstreams a VM uses, and in which order."""
+"""Tests of which upstreams a VM uses, and in which order."""
 
 from goldcreststair.components.configuration.models import CONFIGURATION, Configuration
 from goldcreststair.components.routing.const import MAX_IN_FLIGHT, SUBSET_SIZE
@@ -20,7 +20,7 @@
     return AffinityRouter(core)
 
 
-def test_near_upstreams_go_first_and_others_take_the_overflow() -> None:
+def test_upstreams_of_the_own_data_centre_are_filled_first() -> None:
     router = make_router(near=2, far=2)
     chosen = []
     for number in range(4 * MAX_IN_FLIGHT):
