--- a/standins/worth/jobs.py
+++ b/standins/worth/jobs.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from goldcreststair.cli.stories import LogLine
+from goldcreststair.cli.log_timeline import LogLine
 from goldcreststair.const import MS_PER_SECOND
 
 
@@ -39,8 +39,8 @@
 
     def record_line(self, line: LogLine) -> None:
         """Apply one of its log lines, in order of time."""
-        if "due_in_ms" in line.seen:
-            self.due_ms = line.at_ms + int(line.seen["due_in_ms"])
+        if "due_in_ms" in line.fields:
+            self.due_ms = line.at_ms + int(line.fields["due_in_ms"])
         if line.event == "Job taken over":
             self.owners += 1
         elif line.event == "Job ended":
@@ -48,9 +48,9 @@
         elif line.event == "Item started":
             self.starts += 1
             self.first_start_ms = self.first_start_ms or line.at_ms
-        elif line.event == "Item done" and line.seen["item"] not in self._done:
+        elif line.event == "Item done" and line.fields["item"] not in self._done:
             # If two owners completed the item, the first completion counts.
-            self._done.add(str(line.seen["item"]))
+            self._done.add(str(line.fields["item"]))
             self.in_time += line.at_ms <= self.due_ms
             self.late += line.at_ms > self.due_ms
 
@@ -59,9 +59,9 @@
     """Return the accepted jobs in the order of their acceptance."""
     jobs: dict[str, JobProgress] = {}
     for line in sorted(lines, key=lambda line: line.at_ms):
-        job = str(line.seen.get("job", ""))
+        job = str(line.fields.get("job", ""))
         if line.event == "Job accepted" and job not in jobs:
-            jobs[job] = JobProgress(job, line.at_ms, int(line.seen.get("items", 0)))
+            jobs[job] = JobProgress(job, line.at_ms, int(line.fields.get("items", 0)))
         elif job in jobs:
             jobs[job].record_line(line)
     return list(jobs.values())
--- a/standins/worth/runs.py
+++ b/standins/worth/runs.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import Final
 
-from goldcreststair.cli.stories import LogLine
+from goldcreststair.cli.log_timeline import LogLine
 
 
 class SlotUse(StrEnum):
@@ -61,7 +61,7 @@
     open_runs: dict[tuple[str, str], LogLine] = {}
     runs: list[Run] = []
     for line in ordered:
-        subject = str(line.seen.get("item") or line.seen.get("request") or "")
+        subject = str(line.fields.get("item") or line.fields.get("request") or "")
         key = (line.vm, subject)
         if line.event in _VM_ENDS:
             # The previous process of this VM has ended, and its open runs with it.
@@ -77,15 +77,15 @@
 
 def _classify(line: LogLine) -> SlotUse:
     use = _ENDS[line.event]
-    if use is SlotUse.BATCH_DONE and line.seen.get("due_in_ms", 0) < 0:
+    if use is SlotUse.BATCH_DONE and line.fields.get("due_in_ms", 0) < 0:
         return SlotUse.BATCH_DONE_LATE
-    if use is SlotUse.BATCH_KEPT and line.seen.get("reason") == JOB_ENDED_REASON:
+    if use is SlotUse.BATCH_KEPT and line.fields.get("reason") == JOB_ENDED_REASON:
         return SlotUse.BATCH_ENDED
     return use
 
 
 def _make_run(start: LogLine, ended_ms: int, use: SlotUse) -> Run:
     # Sampling may have dropped the line of a request's end: it lasted at most its time limit.
-    if "left_ms" in start.seen:
-        ended_ms = min(ended_ms, start.at_ms + int(start.seen["left_ms"]))
-    return Run(start.at_ms, ended_ms, str(start.seen.get("upstream", "")), use)
+    if "left_ms" in start.fields:
+        ended_ms = min(ended_ms, start.at_ms + int(start.fields["left_ms"]))
+    return Run(start.at_ms, ended_ms, str(start.fields.get("upstream", "")), use)
