--- a/goldcreststair/components/ledger/const.py
+++ b/goldcreststair/components/ledger/const.py
@@ -6,7 +6,7 @@
 OBJECT_PREFIX: Final = "ledger/"
 
 MAX_TAIL_BYTES: Final = 16 * 1024
-"""Every commit rewrites the tail, so it is kept small; larger tails move to a segment object."""
+"""Maximum size of the tail, which every commit rewrites; a larger one moves to a segment object."""
 MAX_SEGMENTS: Final = 24
 MIN_COMPACT_BYTES: Final = 512 * 1024
 """Segments are compacted when they are larger than both the snapshot and this."""
--- a/goldcreststair/components/ledger/controller.py
+++ b/goldcreststair/components/ledger/controller.py
@@ -222,8 +222,8 @@
             if self._desired.find(index) in ("", self._core.session_id) or not partition.is_owned:
                 continue
             # While the store is down a release cannot be written: the partition would refuse
-            # commits here and no other VM could serve it. So it is kept until ownership has been
-            # confirmed recently.
+            # commits here and no other VM could serve it. So a partition is kept if its ownership
+            # has not been confirmed recently.
             if elapsed(self._core.clock, partition.confirmed_at) > 2 * CONFIRM_INTERVAL_MS:
                 continue
             if not (self._is_leaving() or self._handover_pacer.is_free()):
--- a/goldcreststair/components/ledger/heads.py
+++ b/goldcreststair/components/ledger/heads.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Swapped:
-    """The new head was written."""
+    """The new head is in place."""
 
     stored: StoredHead
     begun_at: Millis
@@ -32,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """Another VM's head is in place."""
+    """Another head is in place, or the write was abandoned with an unknown outcome."""
 
     head: Head
     maybe_written: bool
-    """Whether the new head may have been written before it."""
+    """Whether the new head may have been in place before it."""
 
 
 SwapOutcome = Swapped | NotSwapped | Superseded
--- a/goldcreststair/components/membership/probe.py
+++ b/goldcreststair/components/membership/probe.py
@@ -47,7 +47,7 @@
         self._async_expire = async_expire
         self._peers = core.get(ENDPOINT_LINKS)
         self._rounds: dict[str, int] = {}
-        self._peers.register(NUMBER_PROBE_REQUEST, ProbeAsk, self._async_on_request)
+        self._peers.register(NUMBER_PROBE_REQUEST, ProbeAsk, self._async_on_probe)
         self._peers.register(NUMBER_PROBE_ANSWER, ProbeAnswer, None)
 
     async def async_run(self) -> None:
@@ -90,11 +90,11 @@
         return sum(found)
 
     async def _async_ask_witness(self, witness: str, session_id: str) -> bool:
-        ask = ProbeAsk(session_id)
-        answer = await self._peers.async_request(witness, ask, PROBE_TIMEOUT_MS)
-        return isinstance(answer, Ok) and answer.ok_value.gone
+        request = ProbeAsk(session_id)
+        response = await self._peers.async_request(witness, request, PROBE_TIMEOUT_MS)
+        return isinstance(response, Ok) and response.ok_value.gone
 
-    async def _async_on_request(self, _sender: str, message: PeerMessage) -> PeerMessage:
+    async def _async_on_probe(self, _sender: str, message: PeerMessage) -> PeerMessage:
         return ProbeAnswer(await self._async_probe(message.session_id))
 
     async def _async_probe(self, session_id: str) -> bool:
--- a/goldcreststair/components/membership/service.py
+++ b/goldcreststair/components/membership/service.py
@@ -62,7 +62,7 @@
         first = await self.session.async_step()
         if isinstance(first, Err):
             _LOGGER.warning("Session is not registered yet: %s", first.err_value.message)
-        self._synchronised = self.watcher.answered_at is not None and not self._list_others()
+        self._synchronised = self.watcher.store_read_at is not None and not self._list_others()
         for run in (
             self.session.async_run,
             self.watcher.async_run,
@@ -95,8 +95,8 @@
         """Return whether this VM may have missed recent withdrawals."""
         if not self._synchronised:
             return True
-        answered_at = self.watcher.answered_at or 0
-        if self._core.clock.now() - answered_at <= STORE_SILENT_MS:
+        store_read_at = self.watcher.store_read_at or 0
+        if self._core.clock.now() - store_read_at <= STORE_SILENT_MS:
             return False
         # Members that died during a store outage stay in the list. If some of the partners are such
         # members, links that other VMs opened count in their place.
@@ -154,7 +154,7 @@
             # After the loss of all VMs only rows of dead VMs are left for a while. If the store
             # responds and no peer does, there is no state beyond that in the store.
             alone = not endpoints or tries >= MAX_JOIN_TRIES
-            if fetched or (alone and self.watcher.answered_at is not None):
+            if fetched or (alone and self.watcher.store_read_at is not None):
                 self._synchronised = True
             await self._core.clock.async_sleep(RETRY_MS)
 
@@ -175,7 +175,7 @@
 
     async def _async_list_listed(self) -> list[Endpoint]:
         settings = self._core.settings
-        if self.watcher.answered_at is not None or not settings.peer_port:
+        if self.watcher.store_read_at is not None or not settings.peer_port:
             return []
         listed = await self._core.platform.vm_list.async_list()
         if isinstance(listed, Err):
--- a/goldcreststair/components/membership/watcher.py
+++ b/goldcreststair/components/membership/watcher.py
@@ -42,7 +42,7 @@
         self._scanned_at: Millis | None = None
         self._slots_cleaned_at = core.clock.now()
         self._orphans: dict[tuple[str, bytes], Millis] = {}
-        self.answered_at: Millis | None = None
+        self.store_read_at: Millis | None = None
         """Start of the last successful read; None before the first."""
 
     async def async_run(self) -> None:
@@ -64,7 +64,7 @@
         if isinstance(stepped, Err):
             self._expiry_tracker.record_failure(self._core.clock.now())
             return stepped
-        self.answered_at = began
+        self.store_read_at = began
         await self._async_clean_slots(began)
         return Ok(None)
 
--- a/goldcreststair/components/steering/views.py
+++ b/goldcreststair/components/steering/views.py
@@ -33,12 +33,12 @@
             coordinator=find_coordinator(self.core, self.identity.customer.name),
             leaving_vms=self.core.blackboard.read(CONFIGURATION).leaving_vms,
         )
-        answer = choose_addresses(query)
-        if not answer.addresses:
+        result = choose_addresses(query)
+        if not result.addresses:
             message = "no VM takes new callers"
             self.refuse(Refusal(message, RefusalCode.NOT_READY, 503, True, 1000))
             return
-        self.finish({"addresses": list(answer.addresses), "lifetime_s": answer.lifetime_s})
+        self.finish({"addresses": list(result.addresses), "lifetime_s": result.lifetime_s})
 
 
 def read_members(core: Core) -> tuple[Member, ...]:
