--- a/goldcreststair/cli/__init__.py
+++ b/goldcreststair/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' and batch callers' command line: `goldcreststair`."""
+"""The command line `goldcreststair` for operators and batch callers."""
--- a/goldcreststair/cli/__main__.py
+++ b/goldcreststair/cli/__main__.py
@@ -1,4 +1,4 @@
-"""The command line: `goldcreststair`."""
+"""Entry point of the command line `goldcreststair`."""
 
 from cyclopts import App
 
--- a/goldcreststair/cli/burn.py
+++ b/goldcreststair/cli/burn.py
@@ -1,4 +1,4 @@
-"""The burn report as text and as a picture."""
+"""Renders the burn report as text and as a chart."""
 
 from collections.abc import Sequence
 from typing import Any, Final
@@ -24,11 +24,11 @@
 
 
 def render_text(report: dict[str, Any]) -> str:
-    """Return the report as an aligned table, worst budget first.
+    """Return the report as an aligned table, smallest remaining budget first.
 
     >>> print(render_text({"burns": [], "missing": ["acme"]}))
-    no objectives with a known standing
-    no answer from the owners of: acme
+    no objectives with known burn
+    no response from the owners of: acme
     """
     burns = sorted(report["burns"], key=lambda burn: burn["budget_left"])
     lines = []
@@ -36,9 +36,9 @@
         windows = [WINDOW_NAMES.get(w["window_s"], str(w["window_s"])) for w in burns[0]["windows"]]
         lines = _align([[*COLUMNS, *windows], *(_make_row(burn) for burn in burns)])
     else:
-        lines = ["no objectives with a known standing"]
+        lines = ["no objectives with known burn"]
     if report["missing"]:
-        lines.append("no answer from the owners of: " + ", ".join(report["missing"]))
+        lines.append("no response from the owners of: " + ", ".join(report["missing"]))
     return "\n".join(lines)
 
 
@@ -48,7 +48,7 @@
 
 
 def render_svg(report: dict[str, Any]) -> bytes:
-    """Return burn rates by window, a bar group a customer and objective, as an SVG picture."""
+    """Return an SVG bar chart of burn rates: a bar a window, grouped by customer and objective."""
     burns = sorted(report["burns"], key=lambda burn: burn["budget_left"])
     chart = pygal.Bar(
         title="Service-level burn (1 = budget lasts its whole window)",
@@ -56,7 +56,7 @@
         y_title="times the allowed rate",
         legend_at_bottom=True,
         disable_xml_declaration=True,
-        no_data_text="no objectives with a known standing",
+        no_data_text="no objectives with known burn",
         js=[],
     )
     chart.x_labels = [
--- a/goldcreststair/cli/client.py
+++ b/goldcreststair/cli/client.py
@@ -1,4 +1,4 @@
-"""A small HTTP client to any daemon."""
+"""A small HTTP client for any daemon."""
 
 import http.client
 import json
@@ -23,17 +23,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientError(GoldcreststairError):
-    """A call that did not succeed."""
+    """A call failed."""
 
     status: int = 0
-    """HTTP status, or 0 if no answer came."""
+    """HTTP status, or 0 if no response arrived."""
     not_run: bool = False
     retry_after_s: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One request; `content` is sent as it is read."""
+    """One request; `content` is streamed as it is read."""
 
     method: str
     path: str
@@ -42,15 +42,15 @@
 
 
 class Client:
-    """Talks to one daemon with one key."""
+    """Sends requests to one daemon with one key or token."""
 
     def __init__(self, url: str = "", key: str = "") -> None:
-        """Take flags, else the environment."""
+        """Use the arguments, or the environment where they are empty."""
         self._url = urlsplit(url or os.environ.get(ENV_URL, DEFAULT_URL))
         self._key = key or os.environ.get(ENV_KEY, "")
 
     def send(self, call: Call) -> Result[Any, ClientError]:
-        """Send one request and return its JSON answer."""
+        """Send one request and return its parsed JSON response."""
         parts = b""
         for part in self.stream(call):
             if isinstance(part, Err):
@@ -59,7 +59,7 @@
         return Ok(json.loads(parts))
 
     def stream(self, call: Call) -> Iterator[Result[bytes, ClientError]]:
-        """Send one request and yield its answer as it comes; ends after an error."""
+        """Send one request and yield its response as it arrives; ends after an error."""
         connection = self._open()
         try:
             headers = {"Authorization": f"Bearer {self._key}", **call.headers}
@@ -67,14 +67,14 @@
             connection.request(
                 call.method, call.path, call.content, headers, encode_chunked=chunked
             )
-            answer = connection.getresponse()
-            if answer.status != STATUS_OK:
-                yield Err(_read_error(answer))
+            response = connection.getresponse()
+            if response.status != STATUS_OK:
+                yield Err(_read_error(response))
                 return
-            while part := answer.read(READ_BYTES):
+            while part := response.read(READ_BYTES):
                 yield Ok(part)
         except (OSError, http.client.HTTPException) as error:
-            yield Err(ClientError(f"no whole answer from {self._url.netloc}: {error}"))
+            yield Err(ClientError(f"no complete response from {self._url.netloc}: {error}"))
         finally:
             connection.close()
 
@@ -85,20 +85,20 @@
         return http.client.HTTPConnection(host, timeout=TIMEOUT_S)
 
 
-def _read_error(answer: http.client.HTTPResponse) -> ClientError:
-    body = answer.read()
-    retry_after = answer.getheader("Retry-After", "0")
+def _read_error(response: http.client.HTTPResponse) -> ClientError:
+    body = response.read()
+    retry_after = response.getheader("Retry-After", "0")
     try:
         error = json.loads(body)["error"]
         message, not_run = _describe(error), bool(error.get("not_run"))
     except (ValueError, KeyError, TypeError):
         message, not_run = body.decode(errors="replace")[:200], False
     seconds = int(retry_after) if retry_after.isdecimal() else 0
-    return ClientError(message, answer.status, not_run, seconds)
+    return ClientError(message, response.status, not_run, seconds)
 
 
 def _describe(error: Mapping[str, Any]) -> str:
-    """Return the message, after the field it is about where the daemon names one."""
+    """Return the message, preceded by the invalid field if the daemon names one."""
     field_name = error.get("field") or error.get("param")
     message = str(error["message"])
     return f"{field_name}: {message}" if field_name and field_name not in message else message
--- a/goldcreststair/cli/log_timeline.py
+++ b/goldcreststair/cli/log_timeline.py
@@ -1,4 +1,4 @@
-"""Tells from log lines what became of one thing, and names the cause."""
+"""Collects the log lines about a subject into a timeline and names the cause of its end."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 import orjson
 
 CONTEXT_MS: Final = 3_000
-"""Lines of the same VM or upstream so long before are shown as what led to it."""
+"""Lines of the same VM or upstream are shown as context from this long before."""
 
 CONTEXT_EVENTS: Final = frozenset(
     {
@@ -33,30 +33,30 @@
         "Lines dropped",
     }
 )
-"""Changes of what a daemon believes."""
+"""Events that change the state or the view of a daemon."""
 
-MOVES: Final = ("Request runs elsewhere", "Request goes back", "Item runs again")
-"""Runs that another one followed."""
+RERUN_EVENTS: Final = ("Request runs elsewhere", "Request goes back", "Item runs again")
+"""Events after which a request or item is run again."""
 
 CAUSES: Final[Mapping[str, str]] = {
     "rate_limited": "its customer had spent rate and burst over all VMs",
     "quota_full": "its customer had too many tokens waiting on the route",
-    "overloaded": "every slot was taken and its first event would have been late",
-    "no_upstream": "no upstream took it; it has not run",
-    "not_ready": "this VM could not know what is allowed, or the store did not answer",
+    "overloaded": "every slot was in use and its first event would have been late",
+    "no_upstream": "no upstream accepted it; it has not run",
+    "not_ready": "this VM did not know what is allowed, or the store did not respond",
     "invalid_key": "its key is unknown or was withdrawn",
     "unknown_route": "no route of the catalogue in force has its host and path, or there is no such job",
-    "invalid_request": "it could not be read",
+    "invalid_request": "it could not be parsed",
     "too_large": "it was longer than the catalogue allows",
-    "deadline": "its time ran out at an upstream",
+    "deadline": "its deadline passed at an upstream",
     "upstream_failed": "an upstream failed after it may have run it, and it must not or may not run again",
-    "outcome_unknown": "it may have taken effect; the answer of the store was lost",
+    "outcome_unknown": "it may have taken effect; the response of the store was lost",
     "quarantined": "it crashed the upstreams that ran it",
 }
-"""What each refusal's code means to a caller."""
+"""Meaning of each refusal's code."""
 
 FIELDS: Final = ("request", "job", "item", "upstream", "session", "customer", "vm")
-"""What a timeline can be about."""
+"""Fields of log lines that can be the subject of a timeline."""
 HIDDEN: Final = frozenset({"time", "level", "vm", "logger", "event", "reason", "exception"})
 
 
@@ -70,7 +70,7 @@
     fields: Mapping[str, Any]
 
     def describe(self) -> str:
-        """Return the line for people."""
+        """Return the line in readable form."""
         at = datetime.fromtimestamp(self.at_ms / 1000).strftime("%H:%M:%S.%f")[:-3]
         reason = self.fields.get("reason", "")
         facts = " ".join(f"{k}={v}" for k, v in self.fields.items() if k not in HIDDEN)
@@ -80,31 +80,31 @@
 
 @dataclass(slots=True)
 class Timeline:
-    """What the logs say of one thing."""
+    """The log lines about one subject, and the events that led to them."""
 
     lines: list[LogLine] = field(default_factory=list)
     context: list[LogLine] = field(default_factory=list)
     left_out: int = 0
-    """Lines of the kinds seen that sampling left out."""
+    """Number of lines of the same kinds that sampling dropped."""
 
     def describe_cause(self) -> str:
-        """Return why it ended as it did."""
+        """Return the cause of the subject's last event."""
         if not self.lines:
-            return "nothing known: no line names it, or sampling left its lines out"
+            return "nothing known: no line names it, or sampling dropped its lines"
         last = self.lines[-1]
         code = str(last.fields.get("code", ""))
         if last.event == "Request refused":
             cause = CAUSES.get(code, code)
             if last.fields.get("cut"):
                 cause = f"its stream was cut: {last.fields.get('reason', '')}"
-            return f"{cause}{self._name_trigger(last)}"
+            return f"{cause}{self._describe_trigger(last)}"
         if last.event in ("Item given up", "Job not accepted", "Request given up"):
-            return f"{last.fields.get('reason', '')}{self._name_trigger(last)}"
-        moved = sum(line.event in MOVES for line in self.lines)
-        again = f" after {moved} runs that failed" if moved else ""
-        return f"{last.event.lower()}{again}{self._name_trigger(last)}"
+            return f"{last.fields.get('reason', '')}{self._describe_trigger(last)}"
+        reruns = sum(line.event in RERUN_EVENTS for line in self.lines)
+        again = f" after {reruns} runs that failed" if reruns else ""
+        return f"{last.event.lower()}{again}{self._describe_trigger(last)}"
 
-    def _name_trigger(self, last: LogLine) -> str:
+    def _describe_trigger(self, last: LogLine) -> str:
         before = [line for line in self.context if line.at_ms <= last.at_ms]
         if not before:
             return ""
@@ -113,7 +113,7 @@
 
 
 def read_lines(text: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the log lines in a text; whatever stands before the JSON of a line is left out."""
+    """Yield the log lines in a text; anything before the JSON of a line is ignored."""
     for raw in text:
         start = raw.find("{")
         if start < 0:
@@ -128,7 +128,7 @@
 
 
 def build_timeline(lines: Iterable[LogLine], subject: str, subject_id: str) -> Timeline:
-    """Return the lines about one thing in order of time, and what led to them."""
+    """Return the lines about one subject in order of time, with the events that led to them."""
     known = sorted(lines, key=lambda line: line.at_ms)
     timeline = Timeline([line for line in known if str(line.fields.get(subject)) == subject_id])
     if not timeline.lines:
@@ -138,19 +138,19 @@
     upstreams = {line.fields["upstream"] for line in timeline.lines if line.fields.get("upstream")}
     timeline.left_out = sum(int(line.fields.get("left_out", 0)) for line in timeline.lines)
     near = [line for line in known if begin <= line.at_ms <= end and line.event in CONTEXT_EVENTS]
-    # All VMs see an upstream change at the same moment: one line tells it.
-    told: set[tuple[str, object, bool]] = set()
+    # All VMs log a change of an upstream at the same time: one of these lines is enough.
+    known_changes: set[tuple[str, object, bool]] = set()
     for line in sorted(near, key=lambda line: (line.vm not in vms, line.at_ms)):
         upstream = line.fields.get("upstream")
         change = (line.event, upstream, bool(line.fields.get("draining")))
-        if upstream in upstreams and change not in told:
-            told.add(change)
+        if upstream in upstreams and change not in known_changes:
+            known_changes.add(change)
             timeline.context.append(line)
-        elif _is_own(line, vms):
+        elif _is_local(line, vms):
             timeline.context.append(line)
     timeline.context.sort(key=lambda line: line.at_ms)
     return timeline
 
 
-def _is_own(line: LogLine, vms: set[str]) -> bool:
+def _is_local(line: LogLine, vms: set[str]) -> bool:
     return line.vm in vms and "upstream" not in line.fields
--- a/goldcreststair/cli/operator.py
+++ b/goldcreststair/cli/operator.py
@@ -1,4 +1,4 @@
-"""Commands of operators: configuration, keys, leaving, status, explanations, reports."""
+"""Commands for operators: configuration, keys, leaving, status, explanations and reports."""
 
 import hashlib
 import json
@@ -24,8 +24,8 @@
     NO_OPERATOR_TARGET,
     OperatorTarget,
     fail,
-    print_answer,
-    unwrap_answer,
+    print_response,
+    unwrap_response,
 )
 
 PATH_CONFIGURATION: Final = "/operator/configuration"
@@ -37,14 +37,14 @@
 
 config = App(name="config", help="The numbered configuration.")
 key = App(name="key", help="Customers' keys.")
-leave = App(name="leave", help="Take a VM or an upstream out of service, or back.")
+leave = App(name="leave", help="Take a VM or an upstream out of service, or put it back.")
 report = App(name="report", help="Reports.")
 
 
 @config.command
 def get(*, target: OperatorTarget = NO_OPERATOR_TARGET) -> None:
     """Print the current version and its document."""
-    print_answer(_read_configuration(target.create_client()))
+    print_response(_read_configuration(target.create_client()))
 
 
 @config.command
@@ -52,7 +52,9 @@
     version: int,
     file: Annotated[Path, Parameter(allow_leading_hyphen=True)],
     *,
-    patch_id: Annotated[str, Parameter(help="The same id again is applied once.")] = "",
+    patch_id: Annotated[
+        str, Parameter(help="A patch sent again with the same id is applied only once.")
+    ] = "",
     target: OperatorTarget = NO_OPERATOR_TARGET,
 ) -> None:
     """Apply a JSON merge patch in FILE (- for standard input) to VERSION; a stale one is refused."""
@@ -62,7 +64,7 @@
     except ValueError as error:
         fail(ClientError(f"{file}: not JSON: {error}"))
     client = target.create_client()
-    print_answer(_send_patch(client, version, patch_id or uuid.uuid4().hex, body))
+    print_response(_send_patch(client, version, patch_id or uuid.uuid4().hex, body))
 
 
 @config.command
@@ -71,7 +73,7 @@
 ) -> None:
     """Print the patches that made the versions after AFTER, oldest first."""
     path = f"{PATH_CONFIGURATION}/history?after={after}&limit={limit}"
-    print_answer(target.create_client().send(Call("GET", path)))
+    print_response(target.create_client().send(Call("GET", path)))
 
 
 @config.command
@@ -79,64 +81,64 @@
     version: int, *, timeout_s: float = 30.0, target: OperatorTarget = NO_OPERATOR_TARGET
 ) -> None:
     """Wait until VERSION is in force on every member, and print how long it took."""
-    begun = time.monotonic()
+    started_at = time.monotonic()
     client = target.create_client()
     while True:
-        behind = _find_behind(client, version)
-        elapsed_s = time.monotonic() - begun
-        if not behind:
+        outdated = _find_outdated(client, version)
+        elapsed_s = time.monotonic() - started_at
+        if not outdated:
             print(json.dumps({"version": version, "waited_s": round(elapsed_s, 3)}))
             return
         if elapsed_s > timeout_s:
-            fail(ClientError(f"not in force after {timeout_s:g} s on: {', '.join(behind)}"))
+            fail(ClientError(f"not in force after {timeout_s:g} s on: {', '.join(outdated)}"))
         time.sleep(POLL_S)
 
 
 @key.command
 def issue(customer: str, *, target: OperatorTarget = NO_OPERATOR_TARGET) -> None:
-    """Make a key for CUSTOMER and print it; it is shown only this once and kept only as a hash."""
+    """Create a key for CUSTOMER and print it; only its hash is stored, so it is shown only once."""
     secret = secrets.token_urlsafe(KEY_BYTES)
     key_hash = hashlib.sha256(secret.encode()).hexdigest()
-    answer = _patch_current(target.create_client(), lambda _: {"keys": {key_hash: customer}})
-    print(json.dumps({"key": secret, "key_hash": key_hash, "version": answer["version"]}))
+    response = _patch_current(target.create_client(), lambda _: {"keys": {key_hash: customer}})
+    print(json.dumps({"key": secret, "key_hash": key_hash, "version": response["version"]}))
 
 
 @key.command
 def withdraw(key_hash: str, *, target: OperatorTarget = NO_OPERATOR_TARGET) -> None:
-    """Withdraw the key with this SHA-256; it stops within seconds, also while the store is down."""
+    """Withdraw the key with this SHA-256 within seconds, even while the store is down."""
     content = BytesIO(json.dumps({"key_hash": key_hash}).encode())
     call = Call("POST", "/operator/keys/withdraw", content=content)
-    print_answer(target.create_client().send(call))
+    print_response(target.create_client().send(call))
 
 
 @leave.command
 def vm(address: str, *, back: bool = False, target: OperatorTarget = NO_OPERATOR_TARGET) -> None:
-    """Let the VM at ADDRESS (IP number) leave, or with --back no longer."""
+    """Let the VM at ADDRESS (an IP number) leave; with --back, keep it after all."""
     _set_leaving("leaving_vms", address, back, target)
 
 
 @leave.command
 def upstream(name: str, *, back: bool = False, target: OperatorTarget = NO_OPERATOR_TARGET) -> None:
-    """Give the upstream NAME no new work, or with --back again."""
+    """Send no new work to the upstream NAME; with --back, send it work again."""
     _set_leaving("leaving_upstreams", name, back, target)
 
 
 @report.command
 def burn(
     *,
-    svg: Annotated[Path | None, Parameter(help="Also write a picture here.")] = None,
+    svg: Annotated[Path | None, Parameter(help="Also write a chart to this file.")] = None,
     target: OperatorTarget = NO_OPERATOR_TARGET,
 ) -> None:
     """Print error budgets and burn rates, worst first."""
-    answer = unwrap_answer(target.create_client().send(Call("GET", "/operator/burn")))
-    print(render_text(answer))
+    response = unwrap_response(target.create_client().send(Call("GET", "/operator/burn")))
+    print(render_text(response))
     if svg is not None:
-        svg.write_bytes(render_svg(answer))
+        svg.write_bytes(render_svg(response))
 
 
 def status(*, target: OperatorTarget = NO_OPERATOR_TARGET) -> None:
     """Print the members, their loads and the configuration in force."""
-    print_answer(target.create_client().send(Call("GET", "/operator/status")))
+    print_response(target.create_client().send(Call("GET", "/operator/status")))
 
 
 def explain(
@@ -146,7 +148,7 @@
     logs: Annotated[
         list[Path] | None,
         Parameter(
-            help="Read these logs (- for standard input), and ask no daemon.",
+            help="Read these logs (- for standard input) instead of querying a daemon.",
             allow_leading_hyphen=True,
         ),
     ] = None,
@@ -157,15 +159,15 @@
         _explain_logs(subject, subject_id, logs)
         return
     path = f"/operator/explain/{quote(subject)}/{quote(subject_id, safe='')}"
-    answer = unwrap_answer(target.create_client().send(Call("GET", path)))
-    for step in answer["steps"]:
+    response = unwrap_response(target.create_client().send(Call("GET", path)))
+    for step in response["steps"]:
         at = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(step["at_utc_s"]))
         seen = " ".join(f"{name}={value}" for name, value in step["seen"].items())
         print(f"{at} {step['vm']} {step['choice']}: {step['reason']} {seen}".rstrip())
-    if answer["silent"]:
-        print("no answer from: " + ", ".join(answer["silent"]))
-    if not answer["steps"]:
-        print("nothing known; journals keep the last events of running VMs only")
+    if response["silent"]:
+        print("no response from: " + ", ".join(response["silent"]))
+    if not response["steps"]:
+        print("nothing known; journals only keep the last events of running VMs")
         sys.exit(EXIT_FAILED)
 
 
@@ -185,7 +187,7 @@
         print(f"{mark} {line.describe()}")
     print(f"cause: {timeline.describe_cause()}")
     if timeline.left_out:
-        print(f"sampling left out {timeline.left_out} lines of these kinds before")
+        print(f"sampling dropped {timeline.left_out} earlier lines of these kinds")
     if not timeline.lines:
         sys.exit(EXIT_FAILED)
 
@@ -201,16 +203,16 @@
 
 
 def _patch_current(client: Client, make_patch: Callable[[Any], Any]) -> Any:
-    """Patch whatever version is current, again if another operator was faster."""
+    """Patch the current version; retries if another operator changed it meanwhile."""
     for _ in range(PATCH_ATTEMPTS):
-        current = unwrap_answer(_read_configuration(client))
+        current = unwrap_response(_read_configuration(client))
         body = make_patch(current["document"])
         outcome = _send_patch(client, current["version"], uuid.uuid4().hex, body)
         if not isinstance(outcome, Err):
             return outcome.ok_value
         if outcome.err_value.status != STATUS_CONFLICT:
             fail(outcome.err_value)
-    return fail(ClientError("other operators were faster each time"))
+    return fail(ClientError("every attempt conflicted with a patch of another operator"))
 
 
 def _set_leaving(section: str, name: str, back: bool, target: OperatorTarget) -> None:
@@ -218,14 +220,18 @@
     print(json.dumps(_patch_current(target.create_client(), lambda _: patch_body)))
 
 
-def _find_behind(client: Client, version: int) -> list[str]:
-    answer = unwrap_answer(client.send(Call("GET", "/operator/status")))
-    addresses = [f"{member['address']}:{member['http_port']}" for member in answer["members"]]
+def _find_outdated(client: Client, version: int) -> list[str]:
+    response = unwrap_response(client.send(Call("GET", "/operator/status")))
+    addresses = [f"{member['address']}:{member['http_port']}" for member in response["members"]]
     with ThreadPoolExecutor(PARALLEL_POLLS) as pool:
-        reached = pool.map(lambda address: _has_version(address, version), addresses)
-        return [address for address, has in zip(addresses, reached, strict=True) if not has]
+        up_to_date = pool.map(lambda address: _is_up_to_date(address, version), addresses)
+        return [
+            address
+            for address, is_current in zip(addresses, up_to_date, strict=True)
+            if not is_current
+        ]
 
 
-def _has_version(address: str, version: int) -> bool:
-    answer = Client(f"http://{address}").send(Call("GET", "/health/ready"))
-    return not isinstance(answer, Err) and answer.ok_value["configuration_version"] >= version
+def _is_up_to_date(address: str, version: int) -> bool:
+    response = Client(f"http://{address}").send(Call("GET", "/health/ready"))
+    return not isinstance(response, Err) and response.ok_value["configuration_version"] >= version
--- a/goldcreststair/cli/target.py
+++ b/goldcreststair/cli/target.py
@@ -1,4 +1,4 @@
-"""Which daemon the command line talks to, and as whom."""
+"""Selects the daemon and the credentials that the command line uses."""
 
 import json
 import os
@@ -19,26 +19,26 @@
 @Parameter(name="*")
 @dataclass(frozen=True)
 class Target:
-    """Any daemon, as a customer."""
+    """Any daemon, with a customer's key."""
 
     url: Annotated[str, Parameter(help="Base URL; else GOLDCRESTSTAIR_URL.")] = ""
     key: Annotated[str, Parameter(help="Customer's key; else GOLDCRESTSTAIR_KEY.")] = ""
 
     def create_client(self) -> Client:
-        """Return a client that shows the customer's key."""
+        """Return a client that sends the customer's key."""
         return Client(self.url, self.key)
 
 
 @Parameter(name="*")
 @dataclass(frozen=True)
 class OperatorTarget:
-    """Any daemon, as an operator."""
+    """Any daemon, with the operator token."""
 
     url: Annotated[str, Parameter(help="Base URL; else GOLDCRESTSTAIR_URL.")] = ""
     token: Annotated[str, Parameter(help="Token; else GOLDCRESTSTAIR_OPERATOR_TOKEN.")] = ""
 
     def create_client(self) -> Client:
-        """Return a client that shows the operators' token."""
+        """Return a client that sends the operator token."""
         return Client(self.url, self.token or os.environ.get(ENV_OPERATOR_TOKEN, ""))
 
 
@@ -46,20 +46,20 @@
 NO_OPERATOR_TARGET: Final = OperatorTarget()
 
 
-def print_answer(outcome: Result[Any, ClientError]) -> None:
-    """Print a JSON answer, or end the program with the error."""
-    print(json.dumps(unwrap_answer(outcome)))
+def print_response(outcome: Result[Any, ClientError]) -> None:
+    """Print a JSON response, or exit with the error."""
+    print(json.dumps(unwrap_response(outcome)))
 
 
-def unwrap_answer(outcome: Result[Any, ClientError]) -> Any:
-    """Return the answer, or end the program with the error."""
+def unwrap_response(outcome: Result[Any, ClientError]) -> Any:
+    """Return the response, or exit with the error."""
     if isinstance(outcome, Err):
         fail(outcome.err_value)
     return outcome.ok_value
 
 
 def fail(error: ClientError) -> NoReturn:
-    """Print what went wrong and when to come back, and end the program."""
+    """Print the error and when to retry, and exit with `EXIT_FAILED`."""
     message = f"goldcreststair: {error.message}"
     if error.not_run:
         message += " (not run)"
--- a/goldcreststair/components/caller_api/__init__.py
+++ b/goldcreststair/components/caller_api/__init__.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of callers."""
+"""HTTP API for callers."""
 
 from tornado.routing import Rule
 from tornado.web import url
--- a/goldcreststair/components/caller_api/const.py
+++ b/goldcreststair/components/caller_api/const.py
@@ -1,4 +1,4 @@
-"""Constants of the callers' interface."""
+"""Constants of the callers' API."""
 
 from typing import Final
 
@@ -8,6 +8,6 @@
 KEEP_ALIVE_COMMENT: Final = b": keep-alive\n\n"
 
 FORWARDED_HEADERS: Final = ("Accept", "Accept-Language", "Content-Language", "Content-Type")
-"""All that plain services see of a caller's headers."""
-FIELDS_NAMING_CALLERS: Final = ("user", "metadata")
-"""Body fields that are dropped if they hold the key."""
+"""The caller's headers that are forwarded to plain services; all others are dropped."""
+IDENTIFYING_FIELDS: Final = ("user", "metadata")
+"""Body fields that are dropped if they contain the caller's key."""
--- a/goldcreststair/components/caller_api/errors.py
+++ b/goldcreststair/components/caller_api/errors.py
@@ -1,4 +1,4 @@
-"""How refusals look to callers."""
+"""Formats refusals for callers."""
 
 from typing import Final
 
@@ -21,7 +21,10 @@
 
 
 def make_key_refusal(error: KeyRefused, idempotency_key: str = "") -> Refusal:
-    """Turn a refused key into a refusal; an earlier send may have run under an idempotency key."""
+    """Return the refusal of a request with a refused key.
+
+    Under an idempotency key it is not marked as not run: an earlier send may have run.
+    """
     refusal = Refusal(error.message, RefusalCode.INVALID_KEY, 401, True)
     if error.temporary:
         refusal = Refusal(error.message, RefusalCode.NOT_READY, 503, True, 1000)
@@ -29,13 +32,16 @@
 
 
 def make_field_refusal(error: BadField) -> Refusal:
-    """Turn a field that cannot be read into a refusal."""
+    """Return the refusal of a request with an invalid field."""
     message = f"{error.field}: {error.message}"
     return Refusal(message, RefusalCode.INVALID_REQUEST, 400, True)
 
 
 def encode_refusal(refusal: Refusal) -> bytes:
-    """Return a refusal as an OpenAI-format error with `not_run` and `retry_after_ms`."""
+    """Return a refusal as an OpenAI-format error with `not_run` and `retry_after_ms`.
+
+    An error body of the upstream is returned unchanged.
+    """
     if refusal.upstream_body:
         return refusal.upstream_body
     field, separator, _ = refusal.message.partition(": ")
--- a/goldcreststair/components/caller_api/handler.py
+++ b/goldcreststair/components/caller_api/handler.py
@@ -1,4 +1,4 @@
-"""What all routes of callers share."""
+"""Base class of the callers' HTTP handlers."""
 
 import asyncio
 import math
@@ -24,22 +24,22 @@
 
 
 class CallerHandler(RequestHandler):
-    """Identifies the caller, runs its request and writes typed refusals."""
+    """Identifies the caller, runs its request and sends refusals in the API's format."""
 
     identity: Identity
     key: str = ""
     _running: "asyncio.Task[None] | None" = None
 
     def initialize(self, core: Core) -> None:
-        """Keep the core and name the request."""
+        """Store the core and generate a request id."""
         self.core = core
         self.request_id = uuid.uuid4().hex
 
     def prepare(self) -> None:
-        """Turn the key into an identity, or refuse."""
+        """Identify the caller by its key, or refuse the request."""
         self.set_header(HEADER_REQUEST_ID, self.request_id)
-        shown = self.request.headers.get("Authorization", "")
-        self.key = shown[len(BEARER) :] if shown.startswith(BEARER) else ""
+        authorization = self.request.headers.get("Authorization", "")
+        self.key = authorization[len(BEARER) :] if authorization.startswith(BEARER) else ""
         found = self.core.get(KEYS).identify(self.key)
         if isinstance(found, Err):
             idempotency_key = self.request.headers.get(HEADER_IDEMPOTENCY_KEY, "")
@@ -48,21 +48,21 @@
         self.identity = found.ok_value
 
     def on_connection_close(self) -> None:
-        """Stop work nobody waits for."""
+        """Cancel the request, as its caller has disconnected."""
         if self._running is not None:
             self._running.cancel()
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer in the callers' format also where no handler did."""
-        # A fault of our own may have come after a run began; only a request that was bad from
-        # the start, as one with a wrong method, certainly did not run.
+        """Send errors that no handler caught in the API's format."""
+        # An internal error may occur after a run began. Only a request that was invalid from the
+        # start, for example with a wrong method, certainly did not run.
         not_run = status_code < HTTPStatus.INTERNAL_SERVER_ERROR
         code = RefusalCode.INVALID_REQUEST if not_run else RefusalCode.UPSTREAM_FAILED
         message = HTTPStatus(status_code).phrase
         self.refuse(Refusal(message, code, status_code, not_run))
 
     def refuse(self, refusal: Refusal) -> None:
-        """Send a refusal as the whole answer."""
+        """Send a refusal as the complete response."""
         self.set_status(refusal.status)
         if refusal.retry_after_ms:
             seconds = math.ceil(refusal.retry_after_ms / MS_PER_SECOND)
@@ -70,8 +70,8 @@
         self.set_header("Content-Type", "application/json")
         self.finish(encode_refusal(refusal))
 
-    async def async_follow(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run the request until it ends or its caller goes away."""
+    async def async_run_until_closed(self, work: Coroutine[Any, Any, None]) -> None:
+        """Run the request until it ends or its caller disconnects."""
         self._running = asyncio.create_task(work)
         await asyncio.wait({self._running})
         if not self._running.cancelled():
--- a/goldcreststair/components/caller_api/parsing.py
+++ b/goldcreststair/components/caller_api/parsing.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests; every error names the field."""
+"""Parses callers' requests; every error names the invalid field."""
 
 import hashlib
 from collections.abc import Mapping
@@ -10,9 +10,9 @@
 from result import Err, Ok, Result
 
 from goldcreststair.components.caller_api.const import (
-    FIELDS_NAMING_CALLERS,
     FORWARDED_HEADERS,
     HEADER_DEADLINE,
+    IDENTIFYING_FIELDS,
 )
 from goldcreststair.components.online.const import DEFAULT_DEADLINE_MS, MAX_DEADLINE_MS
 from goldcreststair.errors import GoldcreststairError
@@ -24,25 +24,25 @@
 
 @dataclass(frozen=True, slots=True)
 class BadField(GoldcreststairError):
-    """A request that cannot be read."""
+    """A field of a request is invalid."""
 
     field: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedBody:
-    """What the system needs to know of a body; the rest is the engine's."""
+    """The fields of a body that are used here; the engine reads the others."""
 
     model: str
     stream: bool
     prefix: str
-    """Digest of the prompt's beginning, for affinity."""
+    """Digest of the beginning of the prompt, for affinity routing."""
     forwarded: bytes
-    """What the engine sees: the body as it came, unless a field held the key."""
+    """Body for the engine: unchanged, unless a field contained the key."""
 
 
 def parse_body(path: str, body: bytes, key: str = "") -> Result[ParsedBody, BadField]:
-    """Read an OpenAI-format body.
+    """Parse an OpenAI-format body.
 
     >>> parse_body("/v1/completions", b'{"prompt": "x"}').err_value.field
     'model'
@@ -66,7 +66,7 @@
 
 
 def parse_deadline(headers: Mapping[str, str]) -> Result[int, BadField]:
-    """Return the milliseconds within which the answer must be whole.
+    """Return the time in ms within which the response must be complete.
 
     >>> parse_deadline({"X-Deadline-Ms": "250"}), parse_deadline({})
     (Ok(250), Ok(60000))
@@ -82,13 +82,13 @@
 
 
 def select_headers(headers: Mapping[str, str], key: str) -> dict[str, str]:
-    """Return the headers that a plain service may see."""
+    """Return the headers to forward to a plain service."""
     found = {name: headers[name] for name in FORWARDED_HEADERS if name in headers}
     return {name: value for name, value in found.items() if key not in value}
 
 
 def holds_key(content: bytes | str, key: str) -> bool:
-    """Return whether the key stands in a body or address, escaped or not."""
+    """Return whether a body or query contains the key, escaped or not."""
     if isinstance(content, str):
         return key in content or key in unquote(content)
     if key.encode() in content or key.encode() in unquote(content.decode("latin-1")).encode():
@@ -112,10 +112,10 @@
         return BadField("must not be empty", prompt_field)
     if prompt_field == "messages" and not _are_messages(prompt):
         return BadField("must be a list of objects with a role", prompt_field)
-    wanted = request.get("max_tokens")
-    if wanted is not None and (type(wanted) is not int or wanted < 1):
+    max_tokens = request.get("max_tokens")
+    if max_tokens is not None and (type(max_tokens) is not int or max_tokens < 1):
         return BadField("must be a whole number above 0", "max_tokens")
-    # Several choices would share token indices, and a resumed stream could double or lose some.
+    # Several choices would share token indices; a resumed stream could repeat or lose tokens.
     if request.get("n") not in (None, 1):
         return BadField("must be 1", "n")
     return None
@@ -128,13 +128,13 @@
 
 
 def _remove_key(request: dict[str, Any], body: bytes, key: str) -> Result[bytes, BadField]:
-    # Shows as a customer's key in an upstream's log: clients put it into `user` or a prompt.
+    # Some clients put the key into `user` or a prompt, from where it would get into upstream logs.
     if not key or not holds_key(body, key):
         return Ok(body)
     kept = {
         name: value
         for name, value in request.items()
-        if name not in FIELDS_NAMING_CALLERS or key.encode() not in orjson.dumps(value)
+        if name not in IDENTIFYING_FIELDS or key.encode() not in orjson.dumps(value)
     }
     cleaned = orjson.dumps(kept)
     if key.encode() in cleaned:
--- a/goldcreststair/components/caller_api/service_views.py
+++ b/goldcreststair/components/caller_api/service_views.py
@@ -1,4 +1,4 @@
-"""HTTP routes to plain services."""
+"""HTTP handler for calls of plain services."""
 
 from result import Err
 from tornado.iostream import StreamClosedError
@@ -19,10 +19,10 @@
 
 
 class ServiceHandler(CallerHandler):
-    """Any call of a plain service that the configuration names."""
+    """Handles calls of plain services along the configured routes."""
 
     async def get(self, service: str, path: str) -> None:
-        """Run a call."""
+        """Run a call; all methods are handled alike."""
         await self._async_handle(service, "/" + path)
 
     post = put = patch = delete = get
@@ -41,12 +41,14 @@
             if holds_key(content, self.key):
                 self.refuse(make_field_refusal(BadField("must not hold the key", field)))
                 return
-        await self.async_follow(self._async_run(self._make_request(route, deadline.ok_value)))
+        await self.async_run_until_closed(
+            self._async_run(self._make_request(route, deadline.ok_value))
+        )
 
     def _find_route(self, service: str, path: str) -> ServiceRoute | None:
         for route in self.core.blackboard.read(CONFIGURATION).routes:
-            wanted = (route.service, route.method, route.path)
-            if wanted == (service, self.request.method, path):
+            target = (route.service, route.method, route.path)
+            if target == (service, self.request.method, path):
                 return route
         return None
 
@@ -70,10 +72,10 @@
         if isinstance(outcome, Err):
             self.refuse(outcome.err_value)
             return
-        answer = outcome.ok_value
-        self.set_status(answer.status)
-        self.set_header("Content-Type", answer.content_type)
+        response = outcome.ok_value
+        self.set_status(response.status)
+        self.set_header("Content-Type", response.content_type)
         try:
-            await self.finish(answer.body)
+            await self.finish(response.body)
         except StreamClosedError:
             return
--- a/goldcreststair/components/caller_api/views.py
+++ b/goldcreststair/components/caller_api/views.py
@@ -1,4 +1,4 @@
-"""HTTP routes of callers, in the OpenAI format."""
+"""HTTP handlers of the callers' API, in the OpenAI format."""
 
 import asyncio
 
@@ -21,17 +21,17 @@
 
 
 class GenerateHandler(CallerHandler):
-    """Chat and text completions."""
+    """Handles chat and text completions."""
 
     _last_write_ms = 0
 
     def initialize(self, core: Core) -> None:
-        """Keep the core; one piece is on its way at a time."""
+        """Store the core and create the lock that serialises writes."""
         super().initialize(core)
-        self._writing = asyncio.Lock()
+        self._write_lock = asyncio.Lock()
 
     async def post(self) -> None:
-        """Run one request."""
+        """Run one completion request."""
         deadline = parse_deadline(self.request.headers)
         if isinstance(deadline, Err):
             self.refuse(make_field_refusal(deadline.err_value))
@@ -52,10 +52,10 @@
             deadline_ms=deadline.ok_value,
             idempotency_key=self.request.headers.get(HEADER_IDEMPOTENCY_KEY, ""),
         )
-        await self.async_follow(self._async_run(request))
+        await self.async_run_until_closed(self._async_run(request))
 
     async def async_accept(self, chunk: StreamChunk) -> None:
-        """Pass one chunk on to the caller."""
+        """Send one chunk to the caller."""
         await self._async_write(chunk.data)
 
     async def _async_write(self, data: bytes) -> None:
@@ -63,27 +63,27 @@
             self.set_header("Content-Type", "text/event-stream")
             self.set_header("Cache-Control", "no-store")
         self._last_write_ms = self.core.clock.now()
-        # Taken before any wait: a run that is ended while it waits has counted this as given out.
+        # Buffered before any wait: a run that ends during the wait has counted this data as sent.
         self.write(data)
-        # Shows as answers without an end: a connection knows the wait of one write only, and a
-        # chunk still on its way when a comment is written would wait for good.
-        async with self._writing:
+        # The connection tracks the flush of one write only: a chunk still being flushed when a
+        # keep-alive comment is written would wait for good, and the response would never end.
+        async with self._write_lock:
             try:
                 await self.flush()
             except StreamClosedError:
-                # A run under a claim goes on without its caller; others are cancelled when the
-                # connection's end is noticed.
+                # A run under a claim continues without its caller; others are cancelled by
+                # `on_connection_close`.
                 return
 
     async def _async_keep_alive(self) -> None:
-        """Write comments while no token comes, so that silence means a dead connection."""
+        """Send comments while no token arrives, so that callers can detect a dead connection."""
         self._last_write_ms = self.core.clock.now()
         while True:
-            quiet_ms = self.core.clock.now() - self._last_write_ms
-            if quiet_ms >= KEEP_ALIVE_MS:
+            idle_ms = self.core.clock.now() - self._last_write_ms
+            if idle_ms >= KEEP_ALIVE_MS:
                 await self._async_write(KEEP_ALIVE_COMMENT)
-                quiet_ms = 0
-            await self.core.clock.async_sleep(KEEP_ALIVE_MS - quiet_ms)
+                idle_ms = 0
+            await self.core.clock.async_sleep(KEEP_ALIVE_MS - idle_ms)
 
     async def _async_run(self, request: GenerateRequest) -> None:
         keep_alive = asyncio.create_task(self._async_keep_alive()) if request.stream else None
@@ -107,12 +107,12 @@
         if not self._headers_written:
             self.refuse(refusal)
             return
-        # Part of the answer is out: an error event and no end marker, so it can't pass for whole.
+        # Part of the response is sent: an error event without end marker shows it is incomplete.
         self.finish(b"event: error\ndata: " + encode_refusal(refusal) + b"\n\n")
 
 
 class ModelsHandler(CallerHandler):
-    """The models served."""
+    """Lists the served models."""
 
     def get(self) -> None:
         """Return the list of models."""
@@ -124,22 +124,22 @@
 
 
 class LiveHandler(RequestHandler):
-    """Whether the process lives."""
+    """Liveness check of the process."""
 
     def get(self) -> None:
-        """Answer."""
+        """Return 200."""
         self.finish({"live": True})
 
 
 class ReadyHandler(RequestHandler):
-    """Whether this VM can serve."""
+    """Readiness check of this VM."""
 
     def initialize(self, core: Core) -> None:
-        """Keep the core."""
+        """Store the core."""
         self.core = core
 
     def get(self) -> None:
-        """Answer 200 while callers may be sent here."""
+        """Return 200 while this VM accepts requests, else 503 with the obstacles."""
         obstacles = list_obstacles(self.core)
         version = self.core.blackboard.read(CONFIGURATION).version
         self.set_status(503 if obstacles else 200)
--- a/goldcreststair/components/explain/__init__.py
+++ b/goldcreststair/components/explain/__init__.py
@@ -1,11 +1,11 @@
-"""What the fleet decided about one thing, and why."""
+"""Explains what the fleet decided about a subject, and why."""
 
 from goldcreststair.components.explain.service import EXPLAINER, Explainer
 from goldcreststair.core import Component, Core
 
 
 async def async_setup(core: Core) -> Component:
-    """Set up the explainer."""
+    """Create the explainer and offer it to other components."""
     explainer = Explainer(core)
     core.offer(EXPLAINER, explainer)
     return explainer
--- a/goldcreststair/components/explain/models.py
+++ b/goldcreststair/components/explain/models.py
@@ -1,4 +1,4 @@
-"""Explanations."""
+"""Models of explanations."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
     vm: str
     """Session id of the VM that decided."""
     at_utc_s: float
-    """By that VM's own clock, so steps of several VMs are in order only roughly."""
+    """By that VM's own clock, so the order of steps of several VMs is approximate."""
     choice: str
     reason: str
     seen: Mapping[str, str | int | float | bool]
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """All steps known, oldest first, and the VMs that did not answer."""
+    """All known steps, oldest first, and the session ids of VMs that did not respond."""
 
     steps: tuple[Step, ...]
     silent: tuple[str, ...]
--- a/goldcreststair/components/explain/service.py
+++ b/goldcreststair/components/explain/service.py
@@ -1,4 +1,4 @@
-"""Gathers journal events about one thing from all members."""
+"""Collects journal events about a subject from all members."""
 
 import asyncio
 from typing import Final
@@ -17,32 +17,34 @@
 
 
 class Explainer(PassiveComponent):
-    """Answers operators; asks other members only when an operator asks."""
+    """Collects explanations; queries other members only when an operator asks."""
 
     def __init__(self, core: Core) -> None:
-        """Register the messages."""
+        """Register the peer messages."""
         self._core = core
         self._peers = core.get(PEERS)
         self._peers.register(const.NUMBER_JOURNAL_QUERY, JournalQuery, self._async_on_query)
         self._peers.register(const.NUMBER_JOURNAL_ANSWER, JournalAnswer, None)
 
     async def async_explain(self, subject: Subject, subject_id: str) -> Explanation:
-        """Return what every reachable member decided about one thing."""
+        """Return the decisions of every reachable member about one subject."""
         own = self._core.session_id
         others = [name for name in self._core.blackboard.read(MEMBERS).by_session if name != own]
-        limit = asyncio.Semaphore(const.PARALLEL_QUERIES)
+        semaphore = asyncio.Semaphore(const.PARALLEL_QUERIES)
         query = JournalQuery(subject.value, subject_id)
-        found = await asyncio.gather(*(self._async_ask(name, query, limit) for name in others))
+        found = await asyncio.gather(
+            *(self._async_query(name, query, semaphore) for name in others)
+        )
         steps = self._find_own(subject, subject_id)
         for answer in found:
             steps.extend(answer or ())
         silent = [name for name, answer in zip(others, found, strict=True) if answer is None]
         return Explanation(tuple(sorted(steps, key=lambda step: step.at_utc_s)), tuple(silent))
 
-    async def _async_ask(
-        self, session_id: str, query: JournalQuery, limit: asyncio.Semaphore
+    async def _async_query(
+        self, session_id: str, query: JournalQuery, semaphore: asyncio.Semaphore
     ) -> list[Step] | None:
-        async with limit:
+        async with semaphore:
             answer = await self._peers.async_request(session_id, query, const.QUERY_TIMEOUT_MS)
         if isinstance(answer, Err):
             return None
--- a/goldcreststair/components/metrics/__init__.py
+++ b/goldcreststair/components/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""The metrics page, and the gauges that follow the blackboard."""
+"""The metrics endpoint, with gauges read from the blackboard."""
 
 from goldcreststair.components.metrics.service import MetricsService
 from goldcreststair.core import Component
@@ -6,5 +6,5 @@
 
 
 async def async_setup(core: GatewayCore) -> Component:
-    """Set up the page."""
+    """Create the metrics service."""
     return MetricsService(core)
--- a/goldcreststair/components/metrics/service.py
+++ b/goldcreststair/components/metrics/service.py
@@ -1,4 +1,4 @@
-"""Sets the gauges, times the loop and serves the page."""
+"""Updates the gauges, measures pauses of the event loop and serves the metrics."""
 
 import asyncio
 import logging
@@ -20,54 +20,54 @@
 _LOGGER = logging.getLogger(__name__)
 
 PERIOD_MS: Final = 1_000
-"""How often gauges are set; the page is read every few seconds."""
+"""Period of the event loop check; the metrics are scraped every few seconds."""
 LONG_PAUSE_MS: Final = 250
-"""A pause of the loop that is worth a line: callers count that much between events as late."""
+"""Event loop pause that is logged: callers count this much between events as late."""
 PATH: Final = "/metrics"
 
 
 class MetricsHandler(RequestHandler):
-    """The page."""
+    """Serves the metrics endpoint."""
 
     def initialize(self, service: "MetricsService") -> None:
-        """Keep the service."""
+        """Store the service."""
         self.service = service
 
     def get(self) -> None:
-        """Return all series."""
+        """Return all series with current gauges."""
         self.service.update()
         self.set_header("Content-Type", CONTENT_TYPE)
         self.finish(self.service.core.meters.render())
 
 
 class MetricsService:
-    """Reads the blackboard for the gauges."""
+    """Updates gauges from the blackboard and watches the event loop."""
 
     def __init__(self, core: GatewayCore) -> None:
-        """Use the components set up before."""
+        """Store the core; nothing runs yet."""
         self.core = core
         self._server: HTTPServer | None = None
-        self._ticking: asyncio.Task[None] | None = None
+        self._pause_task: asyncio.Task[None] | None = None
 
     async def async_start(self) -> None:
-        """Begin to time the loop, and serve the page if a port is set."""
+        """Start watching the event loop, and serve the metrics if a port is set."""
         settings = self.core.settings
         if settings.metrics_port:
             application = Application([(PATH, MetricsHandler, {"service": self})])
             self._server = HTTPServer(application)
             self._server.listen(settings.metrics_port, settings.address)
-        self._ticking = asyncio.create_task(self._async_tick())
+        self._pause_task = asyncio.create_task(self._async_measure_pauses())
 
     async def async_close(self) -> None:
-        """Stop."""
+        """Stop the server and the event loop watch."""
         if self._server is not None:
             self._server.stop()
-        if self._ticking is not None:
-            self._ticking.cancel()
-            await asyncio.gather(self._ticking, return_exceptions=True)
+        if self._pause_task is not None:
+            self._pause_task.cancel()
+            await asyncio.gather(self._pause_task, return_exceptions=True)
 
     def update(self) -> None:
-        """Set all gauges."""
+        """Set all gauges to their current values."""
         board, meters = self.core.blackboard, self.core.meters
         fleet, jobs = board.read(FLEET), self.core.get(JOBS)
         controller = self.core.get(PLACEMENT).controller
@@ -90,7 +90,7 @@
         for name, value in gauges.items():
             meters.set_gauge(name, float(value))
 
-    async def _async_tick(self) -> None:
+    async def _async_measure_pauses(self) -> None:
         clock = self.core.clock
         while True:
             due_at = clock.now() + PERIOD_MS
--- a/goldcreststair/components/online/generation.py
+++ b/goldcreststair/components/online/generation.py
@@ -279,8 +279,8 @@
 
 def _make_quarantine_refusal(run: _GenerationRun) -> Refusal:
     message = "this request crashed upstreams and is quarantined"
-    not_run = not run.progress.may_have_run
-    return Refusal(message, RefusalCode.QUARANTINED, 422, not_run=not_run)
+    ran = run.progress.may_have_run
+    return Refusal(message, RefusalCode.QUARANTINED, 422, not_run=not ran)
 
 
 def _make_failure_refusal(error: UpstreamError, progress: RunProgress) -> Refusal:
--- a/goldcreststair/components/operator_api/__init__.py
+++ b/goldcreststair/components/operator_api/__init__.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of operators."""
+"""HTTP API for operators."""
 
 from tornado.routing import Rule
 from tornado.web import url
--- a/goldcreststair/components/operator_api/reports.py
+++ b/goldcreststair/components/operator_api/reports.py
@@ -1,4 +1,4 @@
-"""HTTP routes of operators that only read: burn, explanations, status."""
+"""Read-only HTTP handlers for operators: history, burn, explanations and status."""
 
 import dataclasses
 
@@ -18,10 +18,10 @@
 
 
 class HistoryHandler(OperatorHandler):
-    """The configuration's history."""
+    """Handles queries of the configuration's history."""
 
     async def get(self) -> None:
-        """Return the patches after version `after`, oldest first, `limit` at most."""
+        """Return at most `limit` patches after version `after`, oldest first."""
         try:
             after = int(self.get_query_argument("after", "0"))
             limit = int(self.get_query_argument("limit", "100"))
@@ -43,10 +43,10 @@
 
 
 class BurnHandler(OperatorHandler):
-    """Service-level burn."""
+    """Handles queries of the error budgets."""
 
     async def get(self) -> None:
-        """Return every customer's standing, and the customers whose owner did not answer."""
+        """Return the burn of every customer, and the customers whose owner did not respond."""
         levels = self.core.get(SERVICE_LEVELS)
         assert isinstance(levels, ServiceLevels)
         computed = await levels.async_compute_burns()
@@ -60,10 +60,10 @@
 
 
 class ExplainHandler(OperatorHandler):
-    """Explanations."""
+    """Handles queries of what was decided about a subject."""
 
     async def get(self, subject: str, subject_id: str) -> None:
-        """Return what the fleet decided about one thing."""
+        """Return the decisions of all members about one subject."""
         if subject not in tuple(Subject):
             self.set_status(404)
             subjects = ", ".join(Subject)
@@ -76,10 +76,10 @@
 
 
 class StatusHandler(OperatorHandler):
-    """The fleet as this VM sees it."""
+    """Handles queries of the fleet's status as known to this VM."""
 
     def get(self) -> None:
-        """Return members with their loads, and the configuration in force."""
+        """Return the members with their loads, and the version of the active configuration."""
         board = self.core.blackboard
         loads = board.read(MEMBER_LOADS).by_session
         members = [
--- a/goldcreststair/components/operator_api/views.py
+++ b/goldcreststair/components/operator_api/views.py
@@ -1,4 +1,4 @@
-"""HTTP routes of operators."""
+"""Base class of the operators' HTTP handlers, and the configuration handler."""
 
 import hmac
 
@@ -20,31 +20,31 @@
 
 
 class OperatorHandler(RequestHandler):
-    """Lets only operators in."""
+    """Rejects requests without the operator token."""
 
     def initialize(self, core: Core) -> None:
-        """Keep the core."""
+        """Store the core."""
         self.core = core
 
     def prepare(self) -> None:
-        """Check the operators' token."""
+        """Check the operator token."""
         expected = f"Bearer {self.core.settings.operator_token}"
-        shown = self.request.headers.get("Authorization", "")
-        if not hmac.compare_digest(shown.encode(), expected.encode()):
+        authorization = self.request.headers.get("Authorization", "")
+        if not hmac.compare_digest(authorization.encode(), expected.encode()):
             self.set_status(401)
             self.finish({"error": {"code": "unauthorised", "message": "operator token needed"}})
 
 
 class ConfigurationHandler(OperatorHandler):
-    """The configuration."""
+    """Reads and patches the stored configuration."""
 
     @property
     def follower(self) -> ConfigurationFollower:
-        """Return the configuration's component."""
+        """Return the follower of the stored configuration."""
         return self.core.get(CONFIGURATION_FOLLOWER)
 
     async def get(self) -> None:
-        """Return the stored version."""
+        """Return the stored version and its document."""
         read = await self.follower.store.async_read()
         if isinstance(read, Err):
             self._refuse(read.err_value)
@@ -53,7 +53,7 @@
         self.finish(orjson.dumps({"version": stored.version, "document": stored.document}))
 
     async def patch(self) -> None:
-        """Patch a numbered version: `{"base_version", "patch_id", "patch"}`."""
+        """Apply a patch to a version; the body is `{"base_version", "patch_id", "patch"}`."""
         try:
             request = orjson.loads(self.request.body)
             base_version, patch_id = int(request["base_version"]), str(request["patch_id"])
--- a/tests/cli/test_batch.py
+++ b/tests/cli/test_batch.py
@@ -127,13 +127,13 @@
 
 
 @pytest.mark.parametrize(("headers", "not_run"), [({}, True), ({"Idempotency-Key": "d"}, False)])
-def test_store_down_is_refused_as_not_run(
+def test_job_is_refused_while_the_store_is_down(
     tmp_path: Path, headers: dict[str, str], not_run: bool
 ) -> None:
-    """The store is down; the caller is told at once, truly not run, and when to come back.
+    """The store is down: the caller gets a refusal at once, with a time to retry.
 
-    Under a key of the caller's an earlier send may have been accepted whose answer was lost: told
-    "not run", the caller would submit the job anew and get each summary twice.
+    Under an idempotency key an earlier send may have been accepted although its response was
+    lost. After "not run" the caller would submit the job anew and get each result twice.
     """
     source = tmp_path / "job"
     source.write_bytes(b"\n".join(make_lines(200)))
--- a/tests/cli/test_burn.py
+++ b/tests/cli/test_burn.py
@@ -1,4 +1,4 @@
-"""The burn report reads the same every time."""
+"""Tests of the rendered burn report."""
 
 from typing import Any
 from xml.etree import ElementTree
@@ -28,7 +28,7 @@
     }
 
 
-def test_text_lists_the_worst_first() -> None:
+def test_text_lists_the_smallest_budget_first() -> None:
     lines = render_text(make_report()).splitlines()
     assert lines[0].split()[:2] == ["customer", "objective"]
     assert lines[1].startswith("fixtures")
@@ -37,7 +37,7 @@
     assert "16.00x" in lines[1]
 
 
-def test_picture_is_svg_and_names_each_customer() -> None:
-    picture = render_svg(make_report())
-    assert ElementTree.fromstring(picture).tag.endswith("svg")
-    assert b"fixtures / fast (-20%)" in picture
+def test_chart_is_svg_and_names_each_customer() -> None:
+    chart = render_svg(make_report())
+    assert ElementTree.fromstring(chart).tag.endswith("svg")
+    assert b"fixtures / fast (-20%)" in chart
--- a/tests/cli/test_log_timeline.py
+++ b/tests/cli/test_log_timeline.py
@@ -1,4 +1,4 @@
-"""Stories of failed requests from log lines alone."""
+"""Tests of timelines built from log lines."""
 
 import orjson
 import pytest
@@ -7,14 +7,14 @@
 
 
 def make_line(ms: int, vm: str, event: str, **seen: object) -> str:
-    """Return a log line as a collector may keep it, behind the name of its VM."""
+    """Return a log line as a collector may store it, after the name of its VM."""
     at = f"2026-03-01T10:00:{ms // 1000:02d}.{ms % 1000:03d}Z"
     line = {"time": at, "level": "info", "vm": vm, "logger": "x", "event": event, **seen}
     return f"  12.3 front-1 {orjson.dumps(line).decode()}"
 
 
 LINES = [
-    "not a line of ours",
+    "a line of another program",
     make_line(5_300, "10.0.0.1", "Request refused", request="r1", code="no_upstream", reason="no"),
     make_line(5_000, "10.0.0.1", "Request placed", request="r1", upstream="e1", reason="least"),
     make_line(4_000, "10.0.0.2", "Upstream down", upstream="e1", reason="cannot connect"),
@@ -25,7 +25,7 @@
 ]
 
 
-def test_a_story_is_told_in_order_with_what_led_to_it() -> None:
+def test_timeline_is_in_order_and_has_context() -> None:
     timeline = build_timeline(read_lines(LINES), "request", "r1")
     assert [line.event for line in timeline.lines] == ["Request placed", "Request refused"]
     assert [(line.vm, line.event) for line in timeline.context] == [
@@ -33,7 +33,7 @@
         ("10.0.0.1", "Store lost"),
     ]
     cause = timeline.describe_cause()
-    assert cause.startswith("no upstream took it; it has not run")
+    assert cause.startswith("no upstream accepted it; it has not run")
     assert "upstream down (10.0.0.2)" in cause
 
 
@@ -47,13 +47,13 @@
         ({"event": "Job not accepted", "reason": "store"}, "store"),
     ],
 )
-def test_the_cause_is_named(last: dict[str, object], words: str) -> None:
+def test_cause_is_described(last: dict[str, object], words: str) -> None:
     event = str(last.pop("event"))
     lines = [make_line(1, "a", event, request="r1", **last)]
     assert words in build_timeline(read_lines(lines), "request", "r1").describe_cause()
 
 
-def test_a_run_that_moved_is_counted() -> None:
+def test_runs_that_moved_are_counted() -> None:
     lines = [
         make_line(1, "a", "Request runs elsewhere", request="r1", reason="silent"),
         make_line(1, "a", "Request goes back", request="r1", reason="not run"),
@@ -65,5 +65,5 @@
     )
 
 
-def test_nothing_known_is_said() -> None:
+def test_unknown_subject_is_reported() -> None:
     assert "nothing known" in build_timeline(read_lines(LINES), "request", "r9").describe_cause()
--- a/tests/cli/test_operator.py
+++ b/tests/cli/test_operator.py
@@ -1,4 +1,4 @@
-"""Operators' commands against a real fleet."""
+"""Tests of the operators' commands against a fleet of separate processes."""
 
 import json
 import subprocess
@@ -38,9 +38,9 @@
 
 
 def test_key_from_issue_to_withdrawal(fleet: Fleet) -> None:
-    """An operator issues a key and withdraws it through one daemon.
+    """A key is issued and withdrawn through one daemon.
 
-    Another daemon must first take it and then refuse it.
+    Another daemon must first accept and then refuse it.
     """
     issued = json.loads(run_cli(fleet, "key", "issue", "designers").stdout)
     waited = run_cli(fleet, "config", "wait", str(issued["version"]))
@@ -67,7 +67,7 @@
 
 
 def test_patch_from_standard_input(fleet: Fleet) -> None:
-    """An operator pipes a patch into the command, as its help says; it must not be an option."""
+    """The `-` for standard input must not be parsed as an option."""
     current = json.loads(run_cli(fleet, "config", "get").stdout)["version"]
     patch = json.dumps({"customers": {"designers": {"weight": 2}}})
     patched = run_cli(fleet, "config", "patch", str(current), "-", text=patch)
@@ -84,11 +84,11 @@
     assert f"current version is {current}" in refused.stderr
 
 
-def test_reports_read_without_traffic(fleet: Fleet, tmp_path: Path) -> None:
-    picture = tmp_path / "burn.svg"
-    burn = run_cli(fleet, "report", "burn", "--svg", str(picture))
+def test_reports_work_without_traffic(fleet: Fleet, tmp_path: Path) -> None:
+    chart = tmp_path / "burn.svg"
+    burn = run_cli(fleet, "report", "burn", "--svg", str(chart))
     assert burn.returncode == 0, burn.stderr
-    assert "<svg" in picture.read_text()
+    assert "<svg" in chart.read_text()
     assert len(json.loads(run_cli(fleet, "status").stdout)["members"]) == 2
     unknown = run_cli(fleet, "explain", "request", "nothing")
     assert unknown.returncode == 1
--- a/tests/components/caller_api/test_over_http.py
+++ b/tests/components/caller_api/test_over_http.py
@@ -1,4 +1,4 @@
-"""The callers' interface through separate processes."""
+"""Tests of the callers' API against a fleet of separate processes."""
 
 import contextlib
 import http.client
@@ -25,9 +25,9 @@
 
 
 def test_no_upstream_sees_the_key(fleet: Fleet) -> None:
-    """A caller shows its key, and repeats it in body fields, other headers and a query.
+    """A caller sends its key, and repeats it in body fields, other headers and a query.
 
-    An upstream's log must never hold it: everything both kinds of upstream received is searched.
+    No upstream may receive it: everything that both kinds of upstream received is searched.
     """
     address = fleet.daemons[0].wait_listening()
     body = {"model": "small", "prompt": "x", "max_tokens": 2, "user": KEY, "metadata": {"k": KEY}}
@@ -59,10 +59,10 @@
 
 
 def test_silent_stream_is_kept_alive_and_resumed(fleet: Fleet) -> None:
-    """A designer reads a stream when its upstream's connection goes silent for good.
+    """The connection to the upstream goes silent for good during a stream.
 
-    The caller must see keep-alive comments while nothing comes, so that it does not take the
-    silence for a dead connection, then the rest of the text, each token once.
+    The caller must get keep-alive comments during the silence, so that it does not assume a dead
+    connection, and then the rest of the text, each token once.
     """
     with open_stream(fleet, 100) as stream:
         stream.read(200)
@@ -78,10 +78,10 @@
 
 
 def test_withdrawn_key_ends_the_stream(fleet: Fleet) -> None:
-    """A key is withdrawn while its holder reads a long stream.
+    """A key is withdrawn during a long stream of its caller.
 
-    The stream must end within seconds with the reason and without an end marker, and no
-    engine may go on with it.
+    The stream must end within seconds with the reason and without an end marker, and no engine
+    may continue the run.
     """
     with open_stream(fleet, 5000) as stream:
         stream.read(200)
@@ -115,6 +115,6 @@
     body = {"model": "small", "prompt": "a b", "max_tokens": tokens, "stream": True}
     with contextlib.closing(connection):
         connection.request("POST", "/v1/completions", orjson.dumps(body), HEADERS)
-        answer = connection.getresponse()
-        assert answer.status == 200
-        yield answer
+        response = connection.getresponse()
+        assert response.status == 200
+        yield response
--- a/tests/components/caller_api/test_parsing.py
+++ b/tests/components/caller_api/test_parsing.py
@@ -1,4 +1,4 @@
-"""What callers may send, and what upstreams see of it."""
+"""Tests of what callers may send, and what is forwarded to upstreams."""
 
 import orjson
 import pytest
@@ -44,7 +44,7 @@
     assert orjson.loads(parsed.ok_value.forwarded) == GOOD
 
 
-def test_unknown_fields_pass_unchanged() -> None:
+def test_unknown_fields_are_forwarded_unchanged() -> None:
     body = orjson.dumps(GOOD | {"temperature": 0.5, "user": "u1", "own": {"a": 1}})
     assert parse_body(PATH_CHAT, body, KEY).unwrap().forwarded == body
 
@@ -61,6 +61,6 @@
     assert parsed.err_value.field == "X-Deadline-Ms"
 
 
-def test_only_allowed_headers_pass() -> None:
+def test_only_allowed_headers_are_forwarded() -> None:
     headers = {"Accept": "a", "Authorization": KEY, "Cookie": "c", "Content-Type": f"x/{KEY}"}
     assert select_headers(headers, KEY) == {"Accept": "a"}
--- a/tests/components/caller_api/test_slow_callers.py
+++ b/tests/components/caller_api/test_slow_callers.py
@@ -1,4 +1,4 @@
-"""Callers that read slowly get the whole answer."""
+"""Test that callers that read slowly get the complete response."""
 
 import asyncio
 import socket
@@ -25,8 +25,8 @@
 WAIT_S = 20.0
 
 
-class BigAnswers:
-    """Gives out more than the buffers of a connection hold, then a little."""
+class LargeResponses:
+    """Sends more than the buffers of a connection hold, then one more event."""
 
     async def async_generate(self, _: object, sink: StreamSink) -> Result[GenerateEnd, Refusal]:
         await sink.async_accept(StreamChunk(EVENT * EVENTS, EVENTS, EVENTS - 1))
@@ -45,14 +45,14 @@
     return data
 
 
-def test_caller_that_pauses_gets_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A caller that reads slowly gets keep-alive comments for good in place of the end."""
+def test_slow_caller_gets_the_complete_response(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a slow caller that gets keep-alive comments for good instead of the end."""
     monkeypatch.setattr(views, "KEEP_ALIVE_MS", 50)
 
     async def async_test() -> None:
         core = make_core()
         core.offer(KEYS, cast(Any, SimpleNamespace(identify=lambda _: Ok("acme"))))
-        core.offer(ONLINE, cast(Any, BigAnswers()))
+        core.offer(ONLINE, cast(Any, LargeResponses()))
         route = url("/v1/completions", views.GenerateHandler, {"core": core})
         server = HTTPServer(Application([route]))
         sockets = bind_sockets(0, "127.0.0.1", socket.AF_INET)
--- a/tests/components/explain/test_service.py
+++ b/tests/components/explain/test_service.py
@@ -1,4 +1,4 @@
-"""An operator asks one VM and hears what all of them decided."""
+"""Test of the explanations collected from all VMs."""
 
 from goldcreststair.components.explain.service import Explainer
 from goldcreststair.components.membership.models import MEMBERS, Member, Members, MemberState
@@ -23,9 +23,9 @@
 
 
 def test_gathers_steps_and_names_silent_vms() -> None:
-    """One VM retried a request that another had refused; a third is cut off.
+    """One VM ran a request that another had refused; a third cannot be reached.
 
-    The operator must see both steps, and that one VM's view is missing.
+    The explanation must contain both steps and name the VM that did not respond.
     """
 
     async def async_test() -> None:
