--- a/goldcreststair/cli/operator.py
+++ b/goldcreststair/cli/operator.py
@@ -57,7 +57,7 @@
     ] = "",
     target: OperatorTarget = NO_OPERATOR_TARGET,
 ) -> None:
-    """Apply a JSON merge patch in FILE (- for standard input) to VERSION; a stale one is refused."""
+    """Apply a JSON merge patch from FILE (- for standard input) to VERSION, if it is current."""
     text = sys.stdin.read() if str(file) == "-" else file.read_text()
     try:
         body = json.loads(text)
--- a/goldcreststair/components/online/calls.py
+++ b/goldcreststair/components/online/calls.py
@@ -90,7 +90,7 @@
             error.message, RefusalCode.INVALID_REQUEST, error.status, upstream_body=error.body
         )
     if not progress.may_have_run:
-        return Refusal("no upstream accepted the request", RefusalCode.NO_UPSTREAM, 503, True, 1000)
+        return Refusal("no upstream accepted it", RefusalCode.NO_UPSTREAM, 503, True, 1000)
     if not progress.repeatable:
         message = "it may have run; its answer was lost"
         return Refusal(message, RefusalCode.OUTCOME_UNKNOWN, 409, False)
--- a/goldcreststair/components/online/generation.py
+++ b/goldcreststair/components/online/generation.py
@@ -83,11 +83,7 @@
         ticket = run.make_ticket()
         # While all upstreams refuse or are unreachable, further attempts are spaced out.
         if run.progress.unstarted >= MAX_ATTEMPTS and not await self._async_pause(run):
-            return Err(
-                Refusal(
-                    "no upstream accepted the request", RefusalCode.NO_UPSTREAM, 503, True, 1000
-                )
-            )
+            return Err(Refusal("no upstream accepted it", RefusalCode.NO_UPSTREAM, 503, True, 1000))
         while True:
             placed = await self._gate.async_enter(ticket, run.make_query())
             waiting = isinstance(placed, Err) and placed.err_value.code is RefusalCode.NO_UPSTREAM
@@ -108,7 +104,7 @@
     async def _async_run_placed(
         self, run: "_GenerationRun", upstream: Upstream
     ) -> Result[GenerateEnd, Refusal] | None:
-        """Run at one upstream; returns the result, or None if the request has to be placed again."""
+        """Run at one upstream; returns the result, or None if the request must be placed again."""
         request_id = run.request.request_id
         self._quarantine.begin(upstream.name, request_id, run.fingerprint)
         self._journal.record(
@@ -291,5 +287,5 @@
     if error.failure is UpstreamFailure.TIMEOUT:
         return Refusal(error.message, RefusalCode.DEADLINE, 504, False, 1000)
     if not_run:
-        return Refusal("no upstream accepted the request", RefusalCode.NO_UPSTREAM, 503, True, 1000)
+        return Refusal("no upstream accepted it", RefusalCode.NO_UPSTREAM, 503, True, 1000)
     return Refusal(error.message, RefusalCode.UPSTREAM_FAILED, 502, False, 1000)
--- a/goldcreststair/components/online/mover.py
+++ b/goldcreststair/components/online/mover.py
@@ -53,7 +53,7 @@
 
     @property
     def context_tokens(self) -> int:
-        """Tokens of prompt and response; those of the prompt are estimated from the body's bytes."""
+        """Tokens of prompt and response; those of the prompt are estimated from the body size."""
         return len(self.request.body) // BYTES_PER_TOKEN + self.recorder.last_index + 1
 
     def read_max_tokens(self) -> int:
--- a/goldcreststair/components/online/recovery.py
+++ b/goldcreststair/components/online/recovery.py
@@ -69,7 +69,7 @@
     # A request that certainly did not run may move, whether it is repeatable or not.
     if error.not_run:
         return NextStep.ELSEWHERE
-    # Only the response was lost, the call may have run: repeating it could, for example, book twice.
+    # Only the response was lost and the call may have run: repeating it could book twice.
     if not progress.repeatable:
         return NextStep.GIVE_UP
     if error.failure in RECONNECTABLE and progress.reconnects < MAX_RECONNECTS:
