--- a/goldcreststair/components/batch/chunk_owner.py
+++ b/goldcreststair/components/batch/chunk_owner.py
@@ -1,4 +1,4 @@
-"""Owner of chunks: gives lots out, takes results, commits them in groups."""
+"""Owner of chunks: assigns items, accepts results and commits them in groups."""
 
 import asyncio
 import logging
@@ -23,7 +23,7 @@
 from goldcreststair.components.batch.job_monitor import JobMonitor
 from goldcreststair.components.batch.models import ItemState
 from goldcreststair.components.batch.objects import async_get_object, async_put_object
-from goldcreststair.components.batch.quarantine import Quarantine
+from goldcreststair.components.batch.quarantine import ItemQuarantine
 from goldcreststair.components.batch.records import (
     PREFIX_CHUNK,
     decode_chunk,
@@ -49,21 +49,21 @@
     """All chunks of the partitions that this VM owns."""
 
     def __init__(self, core: Core, directory: Directory, calendar: Calendar) -> None:
-        """Start with no chunks; the ledger hands partitions over."""
+        """Create without chunks; the ledger reports gained partitions."""
         self._core = core
         self._directory = directory
         self._calendar = calendar
-        self._quarantine = Quarantine(core)
+        self._item_quarantine = ItemQuarantine(core)
         self._order = FairScheduler()
         self.chunks: dict[str, Chunk] = {}
         self.commits = 0
-        self._lots = 0
+        self._assignments = 0
         self._job_monitor = JobMonitor(core, directory, calendar, self.chunks, self._end)
         self._loading: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def async_close(self) -> None:
-        """Stop what is under way; uncommitted results run again elsewhere."""
+        """Stop all tasks; items with uncommitted results run again on other VMs."""
         await self._job_monitor.async_close()
         for task in tuple(self._tasks):
             task.cancel()
@@ -75,41 +75,41 @@
             self.add(partition, key, value)
 
     def on_lost(self, index: int) -> None:
-        """Drop everything of a partition: whoever owns it now runs what is not committed."""
+        """Drop the chunks of a partition; its new owner runs uncommitted items again."""
         gone = [key for key, chunk in self.chunks.items() if chunk.partition.index == index]
         for key in gone:
             del self.chunks[key]
 
     def add(self, partition: Partition, key: str, value: bytes) -> None:
-        """Take a committed chunk into care; it runs once its manifest is seen."""
+        """Add a committed chunk; its items run once its manifest is known to be committed."""
         if key not in self.chunks:
             self.chunks[key] = Chunk(key, partition, decode_chunk(value))
-            self._job_monitor.forget(self.chunks[key].record.job)
+            self._job_monitor.recheck_soon(self.chunks[key].record.job)
 
     def touch(self, key: str) -> None:
-        """Note that a submit relies on a chunk."""
+        """Record that a submit uses a chunk, which delays its sweep."""
         if key in self.chunks:
             self.chunks[key].touched_s = self._calendar.now_s()
 
     def check_job(self, job: str) -> None:
-        """Read a job's manifest again soon."""
+        """Read a job's manifest again now."""
         self._job_monitor.check(job)
 
     def tick(self) -> None:
-        """Do what time brings: lapsed lots, commits, loads, checks of jobs, sweeping."""
+        """Expire leases, commit, check jobs, sweep and load items as due."""
         now = self._core.clock.now()
         for chunk in tuple(self.chunks.values()):
-            if chunk.lapse(now):
-                _LOGGER.info("A lot of chunk %s lapsed", chunk.key)
+            if chunk.expire_leases(now):
+                _LOGGER.info("Leases of items of chunk %s expired", chunk.key)
             if self._is_due_for_commit(chunk, now):
                 self._spawn_commit(chunk)
         self._job_monitor.tick()
         self._load_items()
 
     def count_backlog(self) -> dict[str, int]:
-        """Return ready items by model."""
+        """Return the number of ready items by model."""
         counts: dict[str, int] = {}
-        if self._is_full():
+        if self._is_result_memory_full():
             return counts
         for chunk in self.chunks.values():
             if chunk.active and chunk.items is not None:
@@ -119,13 +119,13 @@
                     counts[model] = counts.get(model, 0) + ready
         return {model: count for model, count in counts.items() if count}
 
-    def give(self, holder: str, request: LotRequest) -> Lot:
-        """Give a lot out, in the order between jobs; empty while results cannot be committed."""
+    def assign(self, holder: str, request: LotRequest) -> Lot:
+        """Assign items in fair order; none while too many results wait for a commit."""
         items: list[LotItem] = []
-        if self._is_full():
+        if self._is_result_memory_full():
             return Lot(items, LEASE_MS)
         if request.suspect_wanted:
-            items = self._give_suspect(holder, request.model)
+            items = self._assign_suspect(holder, request.model)
         for chunk in () if items else self._list_ranked():
             free = request.limit - len(items)
             ready = chunk.list_ready(request.model, suspects=False)[:free]
@@ -134,8 +134,8 @@
                 break
         return Lot(items, LEASE_MS)
 
-    def _give_suspect(self, holder: str, model: str) -> list[LotItem]:
-        """Give one suspect out, as a lot of its own, so that a crash names its cause."""
+    def _assign_suspect(self, holder: str, model: str) -> list[LotItem]:
+        """Assign a single suspect, so that a crash can be attributed to it."""
         for chunk in self._list_ranked():
             suspects = chunk.list_ready(model, suspects=True)[:1]
             if suspects:
@@ -143,26 +143,26 @@
         return []
 
     def accept(self, holder: str, key: str, results: list[ItemResult]) -> bool:
-        """Take results of a chunk; False if it is not loaded here yet."""
+        """Accept results of a chunk; False if its items are not loaded here yet."""
         chunk = self.chunks.get(key)
         if chunk is None or (chunk.items is None and chunk.record.undone and not chunk.cancelled):
             return False
         for result in results:
             chunk.accept(holder, result, self._core.clock.now())
-            self._quarantine.observe(chunk, result.index)
+            self._item_quarantine.publish(chunk, result.index)
         if self._is_due_for_commit(chunk, self._core.clock.now()):
             self._spawn_commit(chunk)
         return True
 
     def renew(self, holder: str, key: str, indexes: list[int]) -> bool:
-        """Keep a holder's leases; False if it should stop these items."""
+        """Renew a holder's leases; False if it should stop these items."""
         chunk = self.chunks.get(key)
         if chunk is None or chunk.cancelled:
             return False
         chunk.renew(indexes, holder, self._core.clock.now())
         return True
 
-    def _is_full(self) -> bool:
+    def _is_result_memory_full(self) -> bool:
         held = (f for chunk in self.chunks.values() for f in chunk.finished.values())
         return sum(len(finished.body) for finished in held) > MAX_FINISHED_BYTES
 
@@ -184,9 +184,9 @@
         customer = self._core.blackboard.read(CONFIGURATION).customers.get(chunk.record.customer)
         weight = customer.weight if customer else 1.0
         self._order.charge(chunk.record.customer, len(indexes), weight)
-        self._lots += 1
-        # The lot is part of the id: an engine must not take a second run for the first one.
-        name = f"{self._core.session_id}-{self._lots}"
+        self._assignments += 1
+        # The assignment is part of the id: an engine must not mistake a second run for the first.
+        name = f"{self._core.session_id}-{self._assignments}"
         return [
             LotItem(
                 chunk=chunk.key,
@@ -215,13 +215,13 @@
         self._spawn(self._async_commit(chunk))
 
     async def _async_commit(self, chunk: Chunk) -> None:
-        """Commit all finished results of a chunk: the object first, then the record."""
+        """Commit all finished results of a chunk: first the result object, then the record."""
         try:
             indexes = sorted(chunk.finished)
             name = ""
             lines = chunk.make_lines(indexes)
             if lines:
-                # The epoch keeps a paused owner that wakes from overwriting its successor's.
+                # With the epoch a paused owner that resumes cannot overwrite its successor's object.
                 record = chunk.record
                 name = (
                     f"batch/{record.job}/results/{record.fingerprint[:12]}/{record.number:05d}"
@@ -235,9 +235,9 @@
             outcome = await chunk.partition.async_commit([change], COMMIT_TIMEOUT_MS)
             if isinstance(outcome, Ok):
                 self.commits += 1
-                chunk.settle(indexes, record)
+                chunk.drop_committed(indexes, record)
             elif isinstance(outcome.err_value, CommitUnknown):
-                # The next owner knows which states stand; what is held here may contradict them.
+                # It is unknown which states are committed; those in memory may contradict them.
                 self.chunks.pop(chunk.key, None)
         finally:
             chunk.committing = False
@@ -245,12 +245,12 @@
     def _end(self, chunk: Chunk, *, cancelled: bool) -> None:
         if chunk.cancelled or not chunk.record.undone:
             return
-        for holder in chunk.cancel() if cancelled else chunk.expire():
-            self._spawn(self._async_tell_stop(holder, chunk.key))
+        for holder in chunk.cancel() if cancelled else chunk.end_overdue():
+            self._spawn(self._async_send_stop(holder, chunk.key))
         if not chunk.committing:
             self._spawn_commit(chunk)
 
-    async def _async_tell_stop(self, holder: str, key: str) -> None:
+    async def _async_send_stop(self, holder: str, key: str) -> None:
         await self._directory.async_send(holder, LotStop(key))
 
     def _load_items(self) -> None:
@@ -275,7 +275,7 @@
             content = await async_get_object(self._core, chunk.record.items_object)
             if isinstance(content, Ok):
                 chunk.items = decode_items(content.ok_value)
-                self._quarantine.sift(chunk, self._core.clock.now())
+                self._item_quarantine.end_quarantined(chunk, self._core.clock.now())
         finally:
             self._loading.discard(chunk.key)
 
@@ -286,5 +286,5 @@
 
 
 def count_states(states: str) -> dict[ItemState, int]:
-    """Return how many items are in each state."""
+    """Return the number of items in each state."""
     return {state: states.count(state) for state in ItemState}
--- a/goldcreststair/components/batch/chunks.py
+++ b/goldcreststair/components/batch/chunks.py
@@ -1,4 +1,4 @@
-"""One chunk at its owner: what is undone, given out, finished and committed. Decides only."""
+"""State of one chunk at its owner: leases, tries, finished items and commits; no I/O."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field, replace
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class Lease:
-    """An item given to a dispatcher."""
+    """An item assigned to the VM `holder`, whose dispatcher runs it."""
 
     holder: str
     expires_at: Millis
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finished:
-    """A terminal state that is not committed yet."""
+    """A terminal state of an item that is not committed yet."""
 
     state: ItemState
     status: int
@@ -41,29 +41,29 @@
 
 @dataclass(slots=True)
 class Chunk:
-    """A chunk held by its partition's owner."""
+    """A chunk in memory of its partition's owner."""
 
     key: str
     partition: Partition
     record: ChunkRecord
     active: bool = False
-    """Whether the manifest is known to be committed, and the job not cancelled."""
+    """Whether the manifest is known to be committed and the job is not cancelled."""
     cancelled: bool = False
     items: list[Item] | None = None
     leases: dict[int, Lease] = field(default_factory=dict)
     tries: dict[int, ItemTries] = field(default_factory=dict)
     tried_at: Millis | None = None
-    """When tries changed first since they were committed."""
+    """Time of the first change of `tries` since their last commit."""
     finished: dict[int, Finished] = field(default_factory=dict)
     finished_at: Millis | None = None
-    """When the oldest uncommitted result came."""
+    """Time of the oldest uncommitted result."""
     committing: bool = False
     touched_s: int = 0
     """Calendar time at which a submit last committed the chunk here."""
 
     def __post_init__(self) -> None:
-        """Take the tries that earlier owners committed."""
-        # Begun anew by each owner, they would let a poison item crash engines at each hand-over.
+        """Load the tries that earlier owners committed."""
+        # If each owner started from zero, a poison item could crash more engines at each takeover.
         self.tries = {tries.index: tries for tries in self.record.tries}
 
     def is_open(self, index: int) -> bool:
@@ -73,7 +73,7 @@
         return undone and index not in self.finished
 
     def list_ready(self, model: str, *, suspects: bool) -> list[int]:
-        """Return items of a model that may be given out; suspects or the others."""
+        """Return the items of a model that may be assigned, either suspects or the others."""
         if not self.active or self.items is None:
             return []
         return [
@@ -86,45 +86,45 @@
         ]
 
     def lease(self, indexes: Iterable[int], holder: str, now: Millis) -> None:
-        """Give items out."""
+        """Lease items to a holder."""
         for index in indexes:
             self.leases[index] = Lease(holder, Millis(now + LEASE_MS))
 
     def renew(self, indexes: Iterable[int], holder: str, now: Millis) -> None:
-        """Keep the leases of a holder that lives."""
+        """Extend the leases that a holder has on these items."""
         for index in indexes:
             lease = self.leases.get(index)
             if lease is not None and lease.holder == holder:
                 lease.expires_at = Millis(now + LEASE_MS)
 
-    def lapse(self, now: Millis) -> int:
-        """Take items back whose holder is silent; returns how many."""
-        late = [index for index, lease in self.leases.items() if lease.expires_at <= now]
-        for index in late:
+    def expire_leases(self, now: Millis) -> int:
+        """Remove expired leases; returns how many."""
+        expired = [index for index, lease in self.leases.items() if lease.expires_at <= now]
+        for index in expired:
             del self.leases[index]
-        return len(late)
+        return len(expired)
 
     def accept(self, holder: str, result: ItemResult, now: Millis) -> None:
-        """Take one result; whoever ran it, the first answer of an open item stands."""
+        """Accept one result; the first answer of an open item counts, whoever ran it."""
         index = result.index
-        # A lot answered twice, or by a dispatcher whose lease lapsed: the item is not open any more
-        # once the first answer is in, so a second one cannot change its state.
+        # A result may come twice, or from a holder whose lease expired. The item is no longer open
+        # after the first answer, so a second one cannot change its state.
         if self.cancelled or not self.is_open(index):
             return
         lease = self.leases.get(index)
-        held = lease is not None and lease.holder == holder
+        is_holder = lease is not None and lease.holder == holder
         if result.verdict == Verdict.DONE:
             self._finish(index, ItemState.DONE, result, now)
-        elif held:
+        elif is_holder:
             del self.leases[index]
-            self._judge(index, result, now)
+            self._apply_failure(index, result, now)
 
     def cancel(self) -> list[str]:
-        """Stop the chunk; returns the holders to tell."""
+        """End open items as cancelled; returns the holders to notify."""
         return self._end_open(ItemState.CANCELLED)
 
-    def expire(self) -> list[str]:
-        """End items that were not done in all the time of the job; returns the holders to tell."""
+    def end_overdue(self) -> list[str]:
+        """End open items as failed after the job's retention; returns the holders to notify."""
         return self._end_open(ItemState.FAILED)
 
     def _end_open(self, end: ItemState) -> list[str]:
@@ -137,7 +137,7 @@
         return holders
 
     def make_lines(self, indexes: Sequence[int]) -> list[ResultLine]:
-        """Return the results of finished items for a result object; ended ones need none."""
+        """Return result lines of finished items; items ended without a response have none."""
         return [
             self._make_line(index, self.finished[index])
             for index in indexes
@@ -145,7 +145,7 @@
         ]
 
     def make_record(self, indexes: Sequence[int], result_object: str) -> ChunkRecord:
-        """Return the record with some finished items made terminal."""
+        """Return the record with the states of these finished items."""
         states = list(self.record.states)
         for index in indexes:
             states[index] = self.finished[index].state
@@ -153,8 +153,8 @@
         tries = tuple(tries for index, tries in sorted(self.tries.items()) if states[index] == ".")
         return replace(self.record, states="".join(states), results=results, tries=tries)
 
-    def settle(self, indexes: Sequence[int], record: ChunkRecord) -> None:
-        """Drop what is committed now."""
+    def drop_committed(self, indexes: Sequence[int], record: ChunkRecord) -> None:
+        """Drop finished items that are now committed in `record`."""
         self.record = record
         for index in indexes:
             del self.finished[index]
@@ -176,7 +176,7 @@
         tries = self.tries.get(index)
         return tries is not None and tries.suspect
 
-    def _judge(self, index: int, result: ItemResult, now: Millis) -> None:
+    def _apply_failure(self, index: int, result: ItemResult, now: Millis) -> None:
         if result.verdict == Verdict.REJECTED:
             self._finish(index, ItemState.FAILED, result, now)
             return
--- a/goldcreststair/components/batch/job_monitor.py
+++ b/goldcreststair/components/batch/job_monitor.py
@@ -1,4 +1,4 @@
-"""Follows the manifests of the jobs whose chunks are here: begins, ends and sweeps the chunks."""
+"""Reads the manifests of jobs with chunks here; activates, ends and sweeps the chunks."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -22,14 +22,14 @@
 
 
 class EndChunk(Protocol):
-    """Ends what is undone of a chunk."""
+    """Callback that ends the undone items of a chunk."""
 
     def __call__(self, chunk: Chunk, *, cancelled: bool) -> None:
-        """End it as cancelled or as failed."""
+        """End them as cancelled or as failed."""
 
 
 class JobMonitor:
-    """Reads each job's manifest now and then."""
+    """Reads each job's manifest every `JOB_CHECK_MS`."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         chunks: dict[str, Chunk],
         end: EndChunk,
     ) -> None:
-        """Share the keeper's chunks; those swept are taken out of it."""
+        """Share the chunk owner's `chunks`; swept chunks are removed from it."""
         self._core = core
         self._directory = directory
         self._calendar = calendar
@@ -50,23 +50,23 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def async_close(self) -> None:
-        """Stop what is under way."""
+        """Stop all checks."""
         for task in tuple(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def forget(self, job: str) -> None:
-        """Let a job be read again at the next tick."""
+    def recheck_soon(self, job: str) -> None:
+        """Read a job's manifest again at the next tick."""
         self._checked.pop(job, None)
 
     def check(self, job: str) -> None:
-        """Read a job's manifest now if any chunk of it is here."""
+        """Read a job's manifest now if this VM has a chunk of it."""
         if any(chunk.record.job == job for chunk in self._chunks.values()):
-            self.forget(job)
+            self.recheck_soon(job)
             self.tick()
 
     def tick(self) -> None:
-        """Begin the checks that are due."""
+        """Start the checks that are due."""
         now = self._core.clock.now()
         for chunk in tuple(self._chunks.values()):
             job = chunk.record.job
@@ -101,14 +101,14 @@
         return not chunk.record.undone and self._is_overdue(chunk)
 
     def _is_overdue(self, chunk: Chunk) -> bool:
-        """Return whether a job's retention is over; what is undone then never will be done."""
+        """Return whether a job's retention has passed; undone items are then given up."""
         start = max(chunk.record.due_s, chunk.record.created_s)
         return self._calendar.now_s() - start > RETENTION_S
 
     async def _async_sweep(self, chunk: Chunk, *, accepted: bool) -> None:
-        """Remove a chunk past its retention, or one whose job was never accepted."""
+        """Delete a chunk past its retention, or one whose job was never accepted."""
         age_s = self._calendar.now_s() - chunk.record.created_s
-        if not accepted and min(age_s, self._age_touch(chunk)) < ORPHAN_S:
+        if not accepted and min(age_s, self._read_touch_age_s(chunk)) < ORPHAN_S:
             return
         gone = await chunk.partition.async_commit([Change(chunk.key, None)], COMMIT_TIMEOUT_MS)
         if isinstance(gone, Ok):
@@ -116,9 +116,9 @@
             for name in (*chunk.record.results, chunk.record.items_object):
                 await self._core.platform.objects.async_delete(name)
 
-    def _age_touch(self, chunk: Chunk) -> int:
-        # A resend finds the chunks of a submit that failed long ago and commits its manifest a
-        # moment later; swept in between, an accepted job would lack items.
+    def _read_touch_age_s(self, chunk: Chunk) -> int:
+        # A resend may reuse the chunks of a submit that failed long ago and commit its manifest a
+        # moment later. If they were swept in between, the accepted job would lack items.
         return self._calendar.now_s() - chunk.touched_s
 
     def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
--- a/goldcreststair/components/batch/service.py
+++ b/goldcreststair/components/batch/service.py
@@ -1,4 +1,4 @@
-"""Batch jobs of one VM: serves the owners' messages and drives keeper and dispatchers."""
+"""Batch service of one VM: handles messages and runs the chunk owner and dispatchers."""
 
 import asyncio
 import logging
@@ -64,7 +64,7 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-YIELD_HINT_NUMBER: Final = 100
+PREEMPT_HINT_NUMBER: Final = 100
 
 
 class BatchService:
@@ -76,7 +76,7 @@
         calendar: Calendar | None = None,
         make_allowance: MakeAllowance | None = None,
     ) -> None:
-        """Register all messages and follow the ledger."""
+        """Register message handlers and subscribe to the ledger and the online pressure."""
         self._core = core
         self._calendar = calendar or SystemCalendar()
         self._ledger = core.get(LEDGER)
@@ -96,16 +96,16 @@
         )
 
     async def async_start(self) -> None:
-        """Begin to tick, and take part in graceful shutdowns."""
+        """Start the periodic work and register for graceful shutdown."""
         self._core.drainables.append(self)
         self._ticking = asyncio.create_task(self._async_tick())
 
     async def async_drain(self, deadline_ms: int) -> None:
-        """Take no items any more; return when those that run have ended or were given back."""
+        """Start no more items; return when running ones have ended or were returned."""
         await self.dispatchers.async_drain(deadline_ms)
 
     async def async_close(self) -> None:
-        """Give running items back and stop."""
+        """Return running items and stop."""
         self._unsubscribe()
         if self._ticking is not None:
             self._ticking.cancel()
@@ -118,7 +118,7 @@
         await self.chunk_owner.async_close()
 
     def begin_submission(self, options: SubmitOptions) -> Submission:
-        """Return a submission to feed the job's body into."""
+        """Return a submission that is fed with the job's body."""
         return Submission(self._core, self.directory, self._calendar, options)
 
     def _register(self) -> None:
@@ -138,7 +138,7 @@
         peers.register(71, Lot, None)
         register(72, ChunksGet, self._async_count)
         peers.register(73, ChunksCount, None)
-        register(YIELD_HINT_NUMBER, YieldHint, self._async_on_hint)
+        register(PREEMPT_HINT_NUMBER, YieldHint, self._async_on_hint)
 
     async def _async_tick(self) -> None:
         while True:
@@ -149,8 +149,8 @@
                 self._advertise()
                 self._sweep()
             except Exception:
-                # One bad record must not stop all batch work of this VM.
-                _LOGGER.exception("Batch tick failed")
+                # One malformed record must not stop all batch work of this VM.
+                _LOGGER.exception("Failed to run periodic batch work")
 
     def _sweep(self) -> None:
         if self._sweeping is None or self._sweeping.done():
@@ -190,11 +190,11 @@
         existing = partition.get(message.key)
         self.chunk_owner.touch(message.key)
         value = message.value if existing is None else existing
-        # Committed again even if it is there: it may only be staged, and answering OK before it
-        # is durable would accept a job that the loss of this VM takes away.
+        # Committed again even if it exists: it may only be staged, and a reply of OK before it is
+        # durable would accept a job that is lost with this VM.
         outcome = await partition.async_commit([Change(message.key, value)], PUT_TIMEOUT_MS)
         if isinstance(outcome, Err):
-            return _turn_error(outcome.err_value)
+            return _convert_error(outcome.err_value)
         if message.key.startswith(PREFIX_CHUNK):
             self.chunk_owner.add(partition, message.key, value)
             self.chunk_owner.touch(message.key)
@@ -240,7 +240,7 @@
         cancelled = encode_record(replace(decode_manifest(value), cancelled=True))
         outcome = await partition.async_commit([Change(key, cancelled)], PUT_TIMEOUT_MS)
         if isinstance(outcome, Err):
-            return _turn_error(outcome.err_value)
+            return _convert_error(outcome.err_value)
         return Reply(status=ReplyStatus.OK, value=cancelled)
 
     async def _async_on_changed(self, _: str, message: JobChanged) -> None:
@@ -250,7 +250,7 @@
         self.dispatchers.apply_advert(sender, message)
 
     async def _async_on_lot_request(self, sender: str, message: LotRequest) -> Lot:
-        return self.chunk_owner.give(sender, message)
+        return self.chunk_owner.assign(sender, message)
 
     async def _async_on_renewal(self, sender: str, message: LotRenewal) -> Reply:
         partition = self._find_partition(message.chunk)
@@ -265,8 +265,8 @@
             return partition
         if message.chunk not in self.chunk_owner.chunks:
             return Reply(status=ReplyStatus.MISSING)
-        taken = self.chunk_owner.accept(sender, message.chunk, message.results)
-        return Reply(status=ReplyStatus.OK if taken else ReplyStatus.REFUSED)
+        accepted = self.chunk_owner.accept(sender, message.chunk, message.results)
+        return Reply(status=ReplyStatus.OK if accepted else ReplyStatus.REFUSED)
 
     async def _async_on_stop(self, _: str, message: LotStop) -> Reply:
         self.dispatchers.stop_chunk(message.chunk)
@@ -276,7 +276,7 @@
         self.dispatchers.apply_hint(sender, message)
 
 
-def _turn_error(error: LedgerError) -> Reply:
+def _convert_error(error: LedgerError) -> Reply:
     refused = isinstance(error, CommitRefused)
     return Reply(status=ReplyStatus.REFUSED if refused else ReplyStatus.UNKNOWN)
 
--- a/tests/components/batch/test_controllers.py
+++ b/tests/components/batch/test_controllers.py
@@ -65,7 +65,7 @@
     chunk = make_chunk()
     for _ in range(5):
         chunk.lease([0], "vm1", Millis(0))
-        chunk.lapse(Millis(20_000))
+        chunk.expire_leases(Millis(20_000))
         chunk.accept("vm1", ItemResult(0, FAILED, 0, b""), Millis(20_000))
     assert not chunk.finished and not chunk.tries
 
