--- a/goldcreststair/components/batch/directory.py
+++ b/goldcreststair/components/batch/directory.py
@@ -1,4 +1,4 @@
-"""Finds the owner of a record and asks it, wherever it is."""
+"""Sends messages to the owners of records, on this or another VM."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -18,14 +18,14 @@
     """Sends messages about a key to the owner of its partition."""
 
     def __init__(self, core: Core) -> None:
-        """Use the ledger's map and the peer links."""
+        """Use the ledger's owner map and the peer links."""
         self._core = core
         self._ledger = core.get(LEDGER)
         self.peers = core.get(PEERS)
         self._handlers: dict[type[Any], OwnerHandler] = {}
 
     def register(self, number: int, struct: type[Any], handler: OwnerHandler) -> None:
-        """Serve a message here, from others and from this VM itself."""
+        """Register the handler of a message from peers and from this VM itself."""
         self._handlers[struct] = handler
         self.peers.register(number, struct, handler)
 
@@ -34,11 +34,11 @@
         return self._ledger.get_owned(self._ledger.find_index(key)) is not None
 
     def find_owner(self, key: str) -> str | None:
-        """Return the session believed to own a key's partition."""
+        """Return the session last known to own a key's partition."""
         return self._ledger.find_owner(self._ledger.find_index(key))
 
     def find_holder(self, key: str) -> str:
-        """Return this VM if it owns a key's partition, else the believed owner, or empty."""
+        """Return this VM if it owns a key's partition, else the last known owner, or empty."""
         return self._core.session_id if self.owns(key) else self.find_owner(key) or ""
 
     async def async_send(self, session: str, message: Any) -> Result[Any, PeerError]:
@@ -48,7 +48,7 @@
         return await self.peers.async_request(session, message, CALL_TIMEOUT_MS)
 
     def post(self, session: str, message: Any) -> None:
-        """Send a hint that may be lost."""
+        """Send a message without reply, which may be lost."""
         self.peers.post(session, message)
 
     async def async_ask(self, key: str, message: Any, first: str | None = None) -> Reply:
@@ -65,7 +65,7 @@
                 continue
             answer = await self.async_send(target, message)
             if isinstance(answer, Err):
-                # An answer lost after the write: from here on the outcome is unknown unless a
+                # The reply may have been lost after the write, so the outcome is unknown unless a
                 # later attempt reads it back (every write here is idempotent).
                 if not answer.err_value.not_sent:
                     refused = Reply(status=ReplyStatus.UNKNOWN)
@@ -75,7 +75,7 @@
             if reply.status == ReplyStatus.OK or reply.status == ReplyStatus.MISSING:
                 return reply
             if reply.status == ReplyStatus.REFUSED:
-                # The owner's final word: asking again would only keep the caller waiting.
+                # The owner's refusal is final; a retry would only delay the caller.
                 return refused
             if reply.status == ReplyStatus.UNKNOWN:
                 refused = reply
--- a/goldcreststair/components/batch/fair_scheduler.py
+++ b/goldcreststair/components/batch/fair_scheduler.py
@@ -1,16 +1,16 @@
-"""Which chunk's items go next: fair between customers, least laxity within one."""
+"""Order of chunks: fair between customers, least laxity first within one customer."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 from typing import Final
 
 ITEM_MS: Final = 20
-"""Assumed fleet time an item, for the laxity of a chunk."""
+"""Assumed time in ms that the fleet takes per item, for the laxity of a chunk."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChunkFacts:
-    """What the order of one chunk depends on."""
+    """Facts about a chunk that determine its rank."""
 
     key: str
     customer: str
@@ -19,29 +19,31 @@
 
 
 class FairScheduler:
-    """Weighted fair shares between customers, as items given out over weight."""
+    """Weighted fair sharing between customers, by assigned items divided by weight."""
 
     def __init__(self) -> None:
-        """Start with nothing given out."""
+        """Create without assigned items."""
         self._served: dict[str, float] = {}
 
     def rank(self, chunks: Iterable[ChunkFacts], now_s: int) -> list[ChunkFacts]:
         """Return chunks, the next one first."""
         known = list(chunks)
         self._forget({chunk.customer for chunk in known})
-        return sorted(known, key=lambda chunk: (self._served[chunk.customer], _lax(chunk, now_s)))
+        return sorted(
+            known, key=lambda chunk: (self._served[chunk.customer], _rank_by_laxity(chunk, now_s))
+        )
 
     def charge(self, customer: str, items: int, weight: float) -> None:
-        """Count items given out."""
+        """Count items assigned to a customer's jobs."""
         self._served[customer] = self._served.get(customer, 0.0) + items / max(weight, 0.01)
 
     def _forget(self, present: set[str]) -> None:
-        # A customer that comes back after a pause must not claim the time it was away: it starts
-        # level with the least served of those present.
+        # A customer that returns after a pause must not make up for its absence: it starts at the
+        # level of the least served customer present.
         served = {name: value for name, value in self._served.items() if name in present}
         floor = min(served.values(), default=0.0)
         self._served = {name: served.get(name, floor) - floor for name in present}
 
 
-def _lax(chunk: ChunkFacts, now_s: int) -> tuple[float, str]:
+def _rank_by_laxity(chunk: ChunkFacts, now_s: int) -> tuple[float, str]:
     return (chunk.due_s - now_s - chunk.undone * ITEM_MS / 1000, chunk.key)
--- a/goldcreststair/components/batch/submission.py
+++ b/goldcreststair/components/batch/submission.py
@@ -1,4 +1,4 @@
-"""Takes a job in as it arrives; the manifest, committed last, makes it exist."""
+"""Accepts a job while it is uploaded; it exists once its manifest, written last, is committed."""
 
 import hashlib
 import uuid
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmitOptions:
-    """What a submission says beside its lines."""
+    """Options of a submission beside its lines."""
 
     customer: str
     idempotency_key: str
@@ -54,24 +54,24 @@
 
 
 def make_job_id(customer: str, idempotency_key: str) -> str:
-    """Return the id that every resend of a job gets too; random without a key."""
+    """Return a job id that is the same for every resend with this key; random without a key."""
     if not idempotency_key:
         return uuid.uuid4().hex
     return hashlib.sha256(f"{customer}\0{idempotency_key}".encode()).hexdigest()[:32]
 
 
 def _digest_id(custom_id: str) -> bytes:
-    # A job of 140,000 items may have long ids; whole, they would take tens of megabytes.
+    # A job of 140,000 items may have long ids, which would take tens of megabytes unhashed.
     return hashlib.blake2b(custom_id.encode(), digest_size=12).digest()
 
 
 class Submission:
-    """One job on its way in; holds one chunk of items at a time."""
+    """Upload of one job; holds one chunk of items in memory at a time."""
 
     def __init__(
         self, core: Core, directory: Directory, calendar: Calendar, options: SubmitOptions
     ) -> None:
-        """Take the options; nothing is written yet."""
+        """Create without writing anything."""
         self._core = core
         self._directory = directory
         self._calendar = calendar
@@ -92,7 +92,7 @@
         self._error: BatchError | None = None
 
     async def async_feed(self, data: bytes) -> None:
-        """Take some bytes of the body; returns once they are safe or found bad."""
+        """Process bytes of the body; returns once full chunks are stored or a line is refused."""
         if self._error is not None:
             return
         await self._async_take(self._splitter.feed(data))
@@ -159,8 +159,8 @@
         content = encode_lines(self._items)
         digest = hashlib.sha256(content).hexdigest()
         self._digest.update(digest.encode())
-        # Each submit has objects of its own: the sweep of one that was never accepted cannot
-        # take the items of a resend away, however late it comes.
+        # Each submit has objects of its own, so the sweep of a submit that was never accepted
+        # cannot delete the items of a resend, however late it runs.
         number = len(self._chunks)
         name = f"batch/{self.job}/items/{number:05d}-{digest[:16]}-{self._attempt}"
         put = await async_put_object(self._core, name, content)
@@ -199,7 +199,7 @@
             replies = await async_map(async_commit, numbers)
             for number, reply in zip(numbers, replies, strict=True):
                 if reply.status != ReplyStatus.OK:
-                    # Without its manifest the job does not exist, whatever became of chunks.
+                    # Without a manifest the job does not exist, whichever chunks were committed.
                     return Err(BatchError("the store cannot be reached", job=self.job))
                 if decode_chunk(reply.value).items_object != self._chunks[number].items_object:
                     self._unused.append(number)
@@ -223,7 +223,7 @@
         if reply.status == ReplyStatus.OK:
             return self._compare(decode_manifest(reply.value), manifest.fingerprint)
         if reply.status == ReplyStatus.UNKNOWN:
-            # The manifest may stand although its answer was lost: "not run" would be a lie.
+            # The manifest may be committed although the reply was lost: "not run" would be wrong.
             message = "it is not known whether the job was accepted; resend with the same key"
             return Err(BatchError(message, BatchProblem.OUTCOME_UNKNOWN, self.job))
         return Err(BatchError("the store cannot be reached", job=self.job))
