--- a/goldcreststair/components/batch/errors.py
+++ b/goldcreststair/components/batch/errors.py
@@ -15,13 +15,13 @@
     UNAVAILABLE = "unavailable"
     """Certainly not accepted; try again later."""
     OUTCOME_UNKNOWN = "outcome_unknown"
-    """It may have been accepted; a resend with the same idempotency key finds out."""
+    """It may have been accepted; resend with the same idempotency key to find out."""
     MISSING = "missing"
 
 
 @dataclass(frozen=True, slots=True)
 class BatchError(GoldcreststairError):
-    """A batch call without the wanted result."""
+    """Failure of a batch call."""
 
     problem: BatchProblem = BatchProblem.UNAVAILABLE
     job: str = ""
--- a/goldcreststair/components/batch/models.py
+++ b/goldcreststair/components/batch/models.py
@@ -6,7 +6,7 @@
 
 
 class ItemState(StrEnum):
-    """Where an item stands; one letter each, so that a chunk's states are one short text."""
+    """State of an item; one letter each, so that a chunk's states are one short string."""
 
     UNDONE = "."
     DONE = "d"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Manifest:
-    """What makes a job exist."""
+    """Record of a job; the job exists once it is committed."""
 
     job: str
     customer: str
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemTries:
-    """How often an item of a chunk ended without an answer."""
+    """Counts of runs of an item that ended without an answer."""
 
     index: int
     runs: int = 0
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChunkRecord:
-    """A chunk as committed: its items' states and where its results are."""
+    """A committed chunk: the states of its items and the names of its objects."""
 
     job: str
     fingerprint: str
@@ -71,7 +71,7 @@
     results: tuple[str, ...] = ()
     """Names of result objects."""
     tries: tuple[ItemTries, ...] = ()
-    """Of undone items that ended without an answer; most chunks have none."""
+    """Tries of undone items whose runs ended without an answer; most chunks have none."""
 
     @property
     def undone(self) -> int:
--- a/goldcreststair/components/batch/streams.py
+++ b/goldcreststair/components/batch/streams.py
@@ -1,4 +1,4 @@
-"""One batch item running at an upstream, with all that a later resume needs."""
+"""One batch item at an upstream, with the state needed to resume it."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, eq=False)
 class ItemStream:
-    """A stream and the text it has brought; implements `StreamSink`."""
+    """Stream of an item and its text so far; implements `StreamSink`."""
 
     item: LotItem
     clock: Clock
@@ -32,28 +32,28 @@
     on_first_token: Callable[[int], None] | None = None
 
     async def async_accept(self, chunk: StreamChunk) -> None:
-        """Keep the text of one chunk."""
+        """Append the text of one chunk."""
         if self.first_token_ms < 0:
             self.first_token_ms = self.clock.now() - self.started_at
             if self.on_first_token is not None:
                 self.on_first_token(self.first_token_ms)
         for line in chunk.data.split(b"\n"):
             if line.startswith(DATA_FIELD) and line[len(DATA_FIELD) :].startswith(b"{"):
-                self._take(orjson.loads(line[len(DATA_FIELD) :]))
+                self._append_text(orjson.loads(line[len(DATA_FIELD) :]))
         self.last_index = chunk.last_index
 
     @property
     def left_ms(self) -> int:
-        """Time that is left to the present run."""
+        """Time in ms left for the present run."""
         return max(0, self.started_at + ITEM_TIMEOUT_MS - self.clock.now())
 
     def begin(self) -> None:
-        """Start a run, or go on after a pause."""
+        """Start the clock of a run, also of one resumed after a pause."""
         self.started_at = self.clock.now()
         self.first_token_ms = -1
 
     def make_call(self) -> GenerateCall:
-        """Return the call that starts the item, or goes on after what came already."""
+        """Return the call that starts the item, or resumes it after the last received token."""
         return GenerateCall(
             request_id=self.item.request_id,
             path=self.item.path,
@@ -65,7 +65,7 @@
         )
 
     def make_answer(self) -> bytes:
-        """Return the whole answer as the engine would give it unstreamed."""
+        """Return the response body that the engine would send unstreamed."""
         chat = self.item.path == PATHS[0]
         text = "".join(self.parts)
         choice: dict[str, Any] = {"index": 0, "finish_reason": self.finish_reason}
@@ -82,7 +82,7 @@
         }
         return orjson.dumps(answer)
 
-    def _take(self, event: dict[str, Any]) -> None:
+    def _append_text(self, event: dict[str, Any]) -> None:
         for choice in event.get("choices", ()):
             text = choice.get("text") or choice.get("delta", {}).get("content") or ""
             self.parts.append(text)
--- a/goldcreststair/components/batch/sweeper.py
+++ b/goldcreststair/components/batch/sweeper.py
@@ -19,29 +19,29 @@
 SWEEP_LIMIT: Final = 200
 """Records removed from a partition at a time."""
 MARGIN_S: Final = 24 * 3600
-"""Chunks go first: without its manifest a chunk's objects cannot be told from an orphan's."""
+"""Chunks are deleted first: without a manifest their objects look like an orphan's."""
 
 
 class Sweeper:
     """Sweeps the partitions that this VM owns."""
 
     def __init__(self, core: Core, calendar: Calendar) -> None:
-        """Start with no partition."""
+        """Create without partitions."""
         self._core = core
         self._calendar = calendar
         self._partitions: dict[int, Partition] = {}
         self._next = Millis(0)
 
     def on_gained(self, partition: Partition) -> None:
-        """Take a partition into care."""
+        """Start sweeping a partition."""
         self._partitions[partition.index] = partition
 
     def on_lost(self, index: int) -> None:
-        """Leave a partition to its next owner."""
+        """Stop sweeping a partition."""
         self._partitions.pop(index, None)
 
     async def async_sweep(self) -> None:
-        """Remove what is past its time, if a sweep is due."""
+        """Remove expired records if a sweep is due."""
         now = self._core.clock.now()
         if now < self._next:
             return
--- a/tests/components/batch/test_failures.py
+++ b/tests/components/batch/test_failures.py
@@ -46,7 +46,7 @@
 
 
 def test_owner_lost_right_after_acknowledgement() -> None:
-    """The VM that said "accepted" dies at once.
+    """The VM that accepted a job is lost right after its reply.
 
     A caller must not lose a job it has an id for: manifest and chunks were committed before the
     answer, so the next owners of the partitions find and run them.
@@ -61,11 +61,11 @@
     run(story)
 
 
-def test_paused_chunk_owner_wakes() -> None:
+def test_paused_chunk_owner_resumes() -> None:
     """A chunk's owner is paused, another takes over and finishes, then the first wakes.
 
-    The old owner still believes in its chunk and commits what it has; the fence refuses it, so
-    the states that the new owner committed do not change.
+    The old owner does not know of its loss and commits its results. The commit is fenced, so the
+    states that the new owner committed do not change.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -85,10 +85,10 @@
     run(story)
 
 
-def test_steward_dies_with_a_lot() -> None:
-    """The VM that runs a lot dies; its items are nobody's.
+def test_vm_lost_with_assigned_items() -> None:
+    """The VM that runs assigned items is lost.
 
-    The job would hang at its last items: the lease lapses, the items run again elsewhere.
+    Their leases must expire and the items run on other VMs, or the job would never finish.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -172,8 +172,8 @@
 def test_submit_whose_answers_stay_lost_is_not_called_not_run() -> None:
     """The manifest's owner commits it, and no answer of it ever comes back.
 
-    "Not run" would be a lie, for the job runs; the caller hears that it is not known, and a
-    resend with the same key finds the job.
+    "Not run" would be wrong, as the job runs; the caller is told that the outcome is unknown, and
+    a resend with the same key finds the job.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -264,7 +264,7 @@
 
 @pytest.mark.parametrize(("max_running", "slow"), [(1, False), (1, True), (64, True)])
 def test_job_goes_on_where_little_ran_before(max_running: int, slow: bool) -> None:
-    """A job stands still for good at engines that ran nothing, or one request, when it queued."""
+    """A job must not stall at engines that had run nothing, or one request, when it queued."""
 
     async def story(fleet: BatchFleet) -> None:
         fleet.set_pause(paused=slow)
@@ -325,7 +325,7 @@
 
 
 @pytest.mark.parametrize("poison", [1, 4])
-def test_poison_items_do_not_hold_the_rest_up(poison: int) -> None:
+def test_poison_items_do_not_delay_the_rest(poison: int) -> None:
     """Some items crash each engine that runs them.
 
     They end quarantined after bounded runs; every other item ends done, the job soon.
@@ -362,8 +362,8 @@
     run(story)
 
 
-def test_lot_answered_twice() -> None:
-    """Answers to delivered results are lost, so stewards send them again."""
+def test_results_delivered_twice() -> None:
+    """Replies to delivered results are lost, so dispatchers send the results again."""
 
     async def story(fleet: BatchFleet) -> None:
         manifest = (await fleet.async_submit(make_lines(300))).unwrap()
--- a/tests/components/batch/test_handover.py
+++ b/tests/components/batch/test_handover.py
@@ -59,10 +59,10 @@
     run(story)
 
 
-def test_leaving_vm_gives_its_lots_back_at_once() -> None:
+def test_leaving_vm_returns_its_items_at_once() -> None:
     """A VM is drained for the landlord's maintenance with a lot of long items running.
 
-    Items that it kept until their leases lapsed stood still for ten seconds after it had gone.
+    Items kept until their leases expired would stall for 10 seconds after the VM left.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -92,7 +92,7 @@
 def test_suspicion_outlives_the_owner_of_its_chunk() -> None:
     """A poison item crashed an engine once; then its chunk's owner is lost.
 
-    Had the next owner to begin anew, each loss of an owner would let the item crash more engines.
+    If the next owner started from zero, the item would crash more engines at each takeover.
     """
 
     async def story(fleet: BatchFleet) -> None:
