--- a/goldcreststair/components/batch/calendar.py
+++ b/goldcreststair/components/batch/calendar.py
@@ -1,4 +1,4 @@
-"""Calendar time, which VMs share roughly; for due times and retention only."""
+"""Calendar time, roughly equal on all VMs; used for due times and retention only."""
 
 import time
 from typing import Protocol
--- a/goldcreststair/components/batch/jobs.py
+++ b/goldcreststair/components/batch/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs as callers see them: progress, results, cancel, lists."""
+"""Operations on jobs for callers: progress, results, cancel and lists."""
 
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
@@ -45,11 +45,11 @@
 
     lines: tuple[ResultLine, ...]
     next_after: int
-    """Give this as `after` for the next page; -1 at the end."""
+    """Value of `after` for the next page; -1 at the end."""
 
 
 class Jobs:
-    """Answers about jobs by asking the owners of their records."""
+    """Reads and cancels jobs through the owners of their records."""
 
     def __init__(self, core: Core, directory: Directory) -> None:
         """Use the directory."""
@@ -57,7 +57,7 @@
         self._directory = directory
 
     async def async_find(self, customer: str, job: str) -> Result[Manifest, BatchError]:
-        """Return a job's manifest; another customer's job is as good as missing."""
+        """Return a job's manifest; another customer's job counts as missing."""
         found = await async_read_manifest(self._directory, job)
         if isinstance(found, Err):
             return found
@@ -102,11 +102,11 @@
             return found
         reply = await self._directory.async_ask(make_job_key(job), JobCancel(job))
         if reply.status == ReplyStatus.UNKNOWN:
-            message = "it is not known whether the cancel was taken; send it again"
+            message = "it is not known whether the job was cancelled; send the request again"
             return Err(BatchError(message, BatchProblem.OUTCOME_UNKNOWN, job))
         if reply.status != ReplyStatus.OK:
             return Err(BatchError("the store cannot be reached", job=job))
-        self._core.journal.record(Subject.JOB, job, "cancel", "its customer asked for it")
+        self._core.journal.record(Subject.JOB, job, "cancel", "requested by its customer")
         keys = list_chunk_keys(found.ok_value)
         owners = {self._directory.find_owner(key) for key in keys}
         for owner in owners - {None}:
@@ -183,7 +183,7 @@
     async def _async_fill(
         self, record: ChunkRecord, by_index: dict[int, ResultLine]
     ) -> Result[None, BatchError]:
-        """Add the items that ended without any result."""
+        """Add result lines for the items that ended without a result object."""
         content = await async_get_object(self._core, record.items_object)
         if isinstance(content, Err):
             return content
--- a/goldcreststair/components/batch/parsing.py
+++ b/goldcreststair/components/batch/parsing.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Defaults:
-    """What lines need not repeat."""
+    """Defaults for fields that a line omits."""
 
     path: str = PATHS[0]
     model: str = ""
@@ -30,22 +30,22 @@
     """
 
     def __init__(self) -> None:
-        """Start with nothing."""
-        self._rest = b""
+        """Create with an empty buffer."""
+        self._partial = b""
 
     @property
     def too_long(self) -> bool:
         """Whether the unfinished line is longer than any may be."""
-        return len(self._rest) > MAX_LINE_BYTES
+        return len(self._partial) > MAX_LINE_BYTES
 
     def feed(self, data: bytes) -> list[bytes]:
         """Return the lines that `data` completes."""
-        *lines, self._rest = (self._rest + data).split(b"\n")
+        *lines, self._partial = (self._partial + data).split(b"\n")
         return lines
 
     def finish(self) -> list[bytes]:
         """Return the last line if it lacks its line end."""
-        rest, self._rest = self._rest, b""
+        rest, self._partial = self._partial, b""
         return [rest] if rest else []
 
 
@@ -83,7 +83,7 @@
     field = "messages" if path == PATHS[0] else "prompt"
     if not body.get(field):
         return _refuse(number, f"body.{field}", "must not be empty")
-    # Streamed, so that a run cut short to yield goes on from its last token.
+    # Streamed, so that a preempted run can resume from its last token.
     text = orjson.dumps({**body, "model": model, "stream": True}).decode()
     return Ok(Item(custom_id, path, model, text))
 
--- a/goldcreststair/components/batch/progress.py
+++ b/goldcreststair/components/batch/progress.py
@@ -1,4 +1,4 @@
-"""Counts a job's items by state, with one message an owner."""
+"""Counts a job's items by state, with one message per owner."""
 
 from collections import Counter, defaultdict
 
@@ -46,7 +46,7 @@
     for answer in await async_map(async_ask, groups):
         counts.update(dict(zip(answer.letters, answer.counts, strict=True)))
         left += [_make_key(manifest, number) for number in answer.left]
-    # Owners change while a job is read; what moved is found by its key, one by one.
+    # Owners may change meanwhile; chunks that moved are read one by one from their new owners.
     for chunk in await async_map(lambda key: async_read_chunk(directory, key), left):
         if isinstance(chunk, Err):
             return chunk
--- a/goldcreststair/components/batch/records.py
+++ b/goldcreststair/components/batch/records.py
@@ -1,4 +1,4 @@
-"""Keys and encodings of what is kept of jobs."""
+"""Keys and encodings of the stored records of jobs."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -27,7 +27,7 @@
 def make_chunk_key(job: str, fingerprint: str, number: int) -> str:
     """Return the key of a chunk, which also names its partition.
 
-    The fingerprint keeps a resend with other content from touching the accepted job's chunks.
+    With the fingerprint a resend with other content cannot overwrite the accepted job's chunks.
 
     >>> make_chunk_key("j", "0123456789abcdef", 7)
     'chunk/j/0123456789ab/00007'
--- a/goldcreststair/components/batch/views.py
+++ b/goldcreststair/components/batch/views.py
@@ -80,14 +80,14 @@
         self._submission = self.core.get(BATCH).begin_submission(options)
 
     def _refuse_submit(self, refusal: Refusal) -> None:
-        # An earlier send under the same key may have been accepted: a caller told "not run" would
-        # submit the digest anew under another key, and have each summary twice.
+        # An earlier request with the same key may have been accepted. If it were told "not run", a
+        # caller could submit the job under another key, and every item would run twice.
         resent = HEADER_IDEMPOTENCY_KEY in self.request.headers
         passing = refusal.status in (429, 503)
         self.refuse(clear_not_run(refusal) if resent and passing else refusal)
 
     async def data_received(self, chunk: bytes) -> None:
-        """Store items as they arrive; the socket waits meanwhile."""
+        """Store items as they arrive; reading from the socket pauses meanwhile."""
         if self._submission is not None:
             await self._submission.async_feed(chunk)
 
@@ -182,7 +182,7 @@
         self.set_header("Content-Type", "application/jsonl")
         async for line in jobs.async_stream(found.ok_value):
             if isinstance(line, Err):
-                # A clean end would pass a part for the whole: break the connection instead.
+                # A normal end would make partial results look complete, so the connection is closed.
                 if self._headers_written:
                     self.detach().close()
                 else:
--- a/tests/components/batch/test_controllers.py
+++ b/tests/components/batch/test_controllers.py
@@ -61,7 +61,7 @@
     assert chunk.make_record([0, 1], "").states == "dc"
 
 
-def test_failure_told_by_a_lapsed_holder_does_not_count() -> None:
+def test_failure_reported_by_an_expired_holder_does_not_count() -> None:
     chunk = make_chunk()
     for _ in range(5):
         chunk.lease([0], "vm1", Millis(0))
@@ -84,7 +84,7 @@
     assert [fact.key for fact in order.rank(chunks, 0)] == ["soon", "late", "other"]
 
 
-def test_absent_customer_saves_up_no_claim() -> None:
+def test_absent_customer_gains_no_share() -> None:
     order = FairScheduler()
     acme, back = ChunkFacts("a", "acme", 0, 1), ChunkFacts("b", "back", 0, 1)
     order.rank([acme], 0)
@@ -181,7 +181,7 @@
 def test_old_report_of_a_burst_does_not_hold_batch_back() -> None:
     """A burst ends and a report from its height comes a second later.
 
-    Taken as the load of now, it kept batch at a few streams for a second after each burst.
+    Compared with the present load, it limited batch to a few streams after each burst for 1 s.
     """
     clock = ManualClock()
     allowance = AllowanceController(clock, AllowanceParameters())
@@ -201,7 +201,7 @@
 
 
 def test_lost_vm_does_not_hold_batch_back_for_good() -> None:
-    """A VM dies with requests in flight; nobody says that they ended."""
+    """A VM is lost with requests in flight and never reports their end."""
     clock = ManualClock()
     load = OnlineLoad(clock)
     assert (load.apply_report("dead", 30), load.apply_report("vm1", 2)) == (30, 32)
@@ -210,11 +210,11 @@
 
 
 def test_requests_in_flight_are_told_when_they_change() -> None:
-    """Told at each request, the hints of a fleet at full size would exceed the control budget."""
+    """Reports at each request would exceed the control budget of a fleet at full size."""
     clock = ManualClock()
-    teller = OnlineLoadReporter(clock)
-    told = [teller.observe(UpstreamPressure(count, 0)) for count in (0, 1, 2, 3, 4, 3, 2)]
+    reporter = OnlineLoadReporter(clock)
+    told = [reporter.observe(UpstreamPressure(count, 0)) for count in (0, 1, 2, 3, 4, 3, 2)]
     assert told == [False, False, True, False, True, False, True]
     clock.advance(5000)
-    assert teller.observe(UpstreamPressure(2, 0))
-    assert teller.observe(UpstreamPressure(2, 30)), "online work waits there"
+    assert reporter.observe(UpstreamPressure(2, 0))
+    assert reporter.observe(UpstreamPressure(2, 30)), "online work waits there"
