--- a/tests/components/batch/test_controllers.py
+++ b/tests/components/batch/test_controllers.py
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize(
-    ("counts", "told"),
+    ("counts", "onsets"),
     [
         ([0, 2, 3, 4], 0),
         ([0, 3, 5, 6], 1),
@@ -135,7 +135,7 @@
         ([20, 28, 35], 1),
     ],
 )
-def test_onset_is_told_once_when_work_in_flight_grows(counts: list[int], told: int) -> None:
+def test_onset_is_detected_once_when_work_in_flight_grows(counts: list[int], onsets: int) -> None:
     clock = ManualClock()
     detector = OnsetDetector(clock)
     detector.observe(counts[0])
@@ -144,10 +144,10 @@
     for count in counts:
         answers.append(detector.observe(count))
         clock.advance(20)
-    assert sum(answers) == told
+    assert sum(answers) == onsets
 
 
-def test_burst_holds_batch_down_until_its_requests_have_gone() -> None:
+def test_burst_limits_batch_until_its_requests_have_ended() -> None:
     """Online work grows for a second, then ends; batch was cut at the onset.
 
     Rising during the burst, batch filled the slots that the next requests needed, was cut again
@@ -155,30 +155,30 @@
     the requests have gone and is back in one step.
     """
     clock = ManualClock()
-    hold = BurstLimiter(clock, BurstParameters(share=0.25, over_share=0.5, patience_ms=4000))
-    hold.begin(64, 12)
-    for told in (20, 30, 40, 45):
+    limiter = BurstLimiter(clock, BurstParameters(share=0.25, over_share=0.5, patience_ms=4000))
+    limiter.begin(64, 12)
+    for online in (20, 30, 40, 45):
         clock.advance(500)
-        hold.observe(told)
-        assert hold.bound == 16
-    hold.observe(23)
-    assert hold.is_on
-    hold.observe(22)
-    assert not hold.is_on
+        limiter.observe(online)
+        assert limiter.bound == 16
+    limiter.observe(23)
+    assert limiter.is_on
+    limiter.observe(22)
+    assert not limiter.is_on
 
 
 def test_batch_rises_again_in_a_burst_that_stays() -> None:
-    """Online work doubles for good; a hold without an end would starve batch for hours."""
+    """Online work doubles for good; a limit without an end would starve batch for hours."""
     clock = ManualClock()
-    hold = BurstLimiter(clock, BurstParameters(share=0.25, patience_ms=4000, rise_ms=500))
-    hold.begin(64, 12)
+    limiter = BurstLimiter(clock, BurstParameters(share=0.25, patience_ms=4000, rise_ms=500))
+    limiter.begin(64, 12)
     clock.advance(4000)
-    assert hold.bound == 16
+    assert limiter.bound == 16
     clock.advance(2000)
-    assert hold.bound == 20
+    assert limiter.bound == 20
 
 
-def test_old_report_of_a_burst_does_not_hold_batch_back() -> None:
+def test_old_report_of_a_burst_does_not_limit_batch() -> None:
     """A burst ends and a report from its height comes a second later.
 
     Compared with the present load, it limited batch to a few streams after each burst for 1 s.
@@ -200,7 +200,7 @@
     assert allowance.limit >= before - 4
 
 
-def test_lost_vm_does_not_hold_batch_back_for_good() -> None:
+def test_lost_vm_does_not_limit_batch_forever() -> None:
     """A VM is lost with requests in flight and never reports their end."""
     clock = ManualClock()
     load = OnlineLoad(clock)
@@ -209,12 +209,12 @@
     assert load.apply_report("vm1", 2) == 2
 
 
-def test_requests_in_flight_are_told_when_they_change() -> None:
+def test_requests_in_flight_are_reported_when_they_change() -> None:
     """Reports at each request would exceed the control budget of a fleet at full size."""
     clock = ManualClock()
     reporter = OnlineLoadReporter(clock)
-    told = [reporter.observe(UpstreamPressure(count, 0)) for count in (0, 1, 2, 3, 4, 3, 2)]
-    assert told == [False, False, True, False, True, False, True]
+    is_reported = [reporter.observe(UpstreamPressure(count, 0)) for count in (0, 1, 2, 3, 4, 3, 2)]
+    assert is_reported == [False, False, True, False, True, False, True]
     clock.advance(5000)
     assert reporter.observe(UpstreamPressure(2, 0))
     assert reporter.observe(UpstreamPressure(2, 30)), "online work waits there"
--- a/tests/components/batch/test_handover.py
+++ b/tests/components/batch/test_handover.py
@@ -46,10 +46,10 @@
     async def story(fleet: BatchFleet) -> None:
         manifest = (await fleet.async_submit(make_lines(128 * 12))).unwrap()
         world = fleet.world
-        believed = list(world.owners)
+        known_owners = list(world.owners)
         stale = world.ledgers["vm0"]
-        stale.find_owner = lambda index: believed[index]  # type: ignore[method-assign]
-        for index, owner in enumerate(believed):
+        stale.find_owner = lambda index: known_owners[index]  # type: ignore[method-assign]
+        for index, owner in enumerate(known_owners):
             if owner == "vm1":
                 world.move(index, "vm2")
         asking = fleet.services["vm0"].jobs.async_describe("acme", manifest.job)
@@ -60,7 +60,7 @@
 
 
 def test_leaving_vm_returns_its_items_at_once() -> None:
-    """A VM is drained for the landlord's maintenance with a lot of long items running.
+    """A VM is drained for the provider's maintenance while it runs long items.
 
     Items kept until their leases expired would stall for 10 seconds after the VM left.
     """
