--- a/standins/chaos/caller.py
+++ b/standins/chaos/caller.py
@@ -9,7 +9,7 @@
 
 from standins.chaos.observations import Attempt, Kind, Observations, read_ms, read_refusal
 from standins.demo.__main__ import read_stream
-from standins.demo.fleet import HttpAnswer, send_request
+from standins.demo.fleet import HttpResponse, send_request
 
 TIMEOUT_S: Final = 20.0
 ADDRESSES_TIMEOUT_S: Final = 2.0
@@ -104,7 +104,7 @@
         time.sleep(0.2)
 
 
-def _make_attempt(spec: RequestSpec, begun: Attempt, answer: HttpAnswer) -> Attempt:
+def _make_attempt(spec: RequestSpec, begun: Attempt, answer: HttpResponse) -> Attempt:
     request_id = answer.headers.get("X-Request-Id", "")
     if answer.status != STATUS_OK:
         code, not_run = read_refusal(answer)
@@ -125,7 +125,7 @@
     )
 
 
-def _read_text(spec: RequestSpec, answer: HttpAnswer) -> str:
+def _read_text(spec: RequestSpec, answer: HttpResponse) -> str:
     if spec.kind is Kind.STREAM:
         return read_stream(answer)
     body = answer.json()
--- a/standins/chaos/faults.py
+++ b/standins/chaos/faults.py
@@ -14,7 +14,7 @@
 from standins.chaos.caller import NO_ANSWER, STATUS_OK
 from standins.chaos.observations import FaultSpan, Observations, read_ms
 from standins.chaos.traffic import POISON
-from standins.demo.fleet import OPERATOR_TOKEN, Fleet, HttpAnswer, send_request
+from standins.demo.fleet import OPERATOR_TOKEN, Fleet, HttpResponse, send_request
 from standins.demo.process import ChildProcess
 
 PAUSE_S: Final = 40.0
@@ -211,7 +211,7 @@
             with self._observed.lock:
                 self._observed.patches.append((patch_id, int(answer.json()["version"])))
 
-    def _send_to_operator_api(self, method: str, path: str, body: Any) -> HttpAnswer:
+    def _send_to_operator_api(self, method: str, path: str, body: Any) -> HttpResponse:
         address = self._random.choice(self.list_available())
         return send_request(address, method, path, body, OPERATOR, OPERATOR_TIMEOUT_S)
 
--- a/standins/chaos/observations.py
+++ b/standins/chaos/observations.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from standins.demo.fleet import HttpAnswer
+from standins.demo.fleet import HttpResponse
 
 
 class Kind(StrEnum):
@@ -76,7 +76,7 @@
     return time.monotonic_ns() // 1_000_000
 
 
-def read_refusal(answer: HttpAnswer) -> tuple[str, bool]:
+def read_refusal(answer: HttpResponse) -> tuple[str, bool]:
     """Return an error answer's code and `not_run`; empty and False if it has none."""
     try:
         error = answer.json()["error"]
--- a/standins/demo/__init__.py
+++ b/standins/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A whole fleet on loopback: stand-ins and daemons as separate processes."""
+"""Runs a fleet on loopback: stand-ins and daemons as separate processes."""
--- a/standins/demo/__main__.py
+++ b/standins/demo/__main__.py
@@ -1,4 +1,4 @@
-"""The demo: a fleet on loopback, online traffic beside a batch job, and what happened."""
+"""Demo: runs online traffic and a batch job on a loopback fleet and prints the outcome."""
 
 import subprocess
 import sys
@@ -9,7 +9,7 @@
 
 import orjson
 
-from standins.demo.fleet import OPERATOR_TOKEN, Fleet, HttpAnswer, send_request
+from standins.demo.fleet import OPERATOR_TOKEN, Fleet, HttpResponse, send_request
 from standins.demo.process import ROOT
 from standins.engine.model import make_text
 
@@ -36,7 +36,7 @@
 
 
 def make_headers(customer: str, **more: str) -> dict[str, str]:
-    """Return the headers of a customer's call."""
+    """Return the headers of a customer's request."""
     return {"Authorization": f"Bearer key-{customer}", **more}
 
 
@@ -47,7 +47,7 @@
 
 
 def make_batch(items: int) -> bytes:
-    """Return a batch job's lines."""
+    """Return the JSON lines of a batch job."""
     lines = (
         {"custom_id": f"brief-{number}", "body": make_chat(f"sum up {number}", stream=False)}
         for number in range(items)
@@ -56,7 +56,7 @@
 
 
 def send_online(addresses: list[str], number: int) -> str:
-    """Send one streamed request and return what became of it."""
+    """Send one streamed request and return its outcome."""
     customer = ("designers", "fixtures")[number % 2]
     address = addresses[number % len(addresses)]
     text = f"move match slot {number}"
@@ -72,16 +72,16 @@
     return "whole" if read_stream(answer) == make_text(f"user: {text}", TOKENS) else "broken"
 
 
-def read_stream(answer: HttpAnswer) -> str:
-    """Return the text of a streamed chat answer, or an empty one without its end marker."""
+def read_stream(answer: HttpResponse) -> str:
+    """Return the text of a streamed chat answer, or an empty text if it lacks its end marker."""
     events = [line[6:] for line in answer.body.split(b"\n") if line.startswith(b"data: ")]
     if not events or events[-1] != b"[DONE]":
         return ""
     return "".join(orjson.loads(event)["choices"][0]["delta"]["content"] for event in events[:-1])
 
 
-def submit_batch(address: str) -> HttpAnswer:
-    """Submit the job; the same key makes sending it again safe."""
+def submit_batch(address: str) -> HttpResponse:
+    """Submit the job; its idempotency key makes retries safe."""
     return send_request(
         address,
         "POST",
@@ -92,7 +92,7 @@
 
 
 def run_batch(address: str) -> dict[str, Any]:
-    """Submit a job and follow it to its end; returns its last status."""
+    """Submit a job and poll it until it is finished; returns its last status."""
     deadline = time.monotonic() + BATCH_TIMEOUT_S
     submitted = submit_batch(address)
     while submitted.status != 200 and time.monotonic() < deadline:
@@ -108,7 +108,7 @@
 
 
 def run_cli(fleet: Fleet, *arguments: str) -> str:
-    """Run the command line against the first daemon and return what it printed."""
+    """Run the operator command line against the first daemon and return its output."""
     target = ["--url", f"http://{fleet.daemons[0].wait_listening()}", "--token", OPERATOR_TOKEN]
     command = [sys.executable, "-m", "goldcreststair.cli", *arguments, *target]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
--- a/standins/demo/fleet.py
+++ b/standins/demo/fleet.py
@@ -1,4 +1,4 @@
-"""Starts and stops a whole fleet on loopback."""
+"""Starts and stops a fleet of processes on loopback."""
 
 import contextlib
 import hashlib
@@ -17,12 +17,12 @@
 LOOPBACK = "127.0.0.1"
 OPERATOR_TOKEN = "demo-operator"
 DRAIN_MS = "500"
-"""Fleets on loopback end quickly; give `drain-ms` in `daemon_flags` for a real drain."""
+"""Short, so that loopback fleets stop quickly; `daemon_flags` may set a longer `drain-ms`."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """What to start."""
+    """Number and settings of the processes to start."""
 
     daemons: int = 3
     engines: int = 3
@@ -33,8 +33,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpAnswer:
-    """One whole answer."""
+class HttpResponse:
+    """One complete HTTP response."""
 
     status: int
     headers: Mapping[str, str]
@@ -52,21 +52,21 @@
     body: object = None,
     headers: Mapping[str, str] | None = None,
     timeout_s: float = 60.0,
-) -> HttpAnswer:
-    """Send one request and read the whole answer; `body` is bytes or goes as JSON."""
+) -> HttpResponse:
+    """Send one request and read the whole response; a `body` other than bytes is sent as JSON."""
     connection = http.client.HTTPConnection(address, timeout=timeout_s)
     content = body if isinstance(body, bytes) else b"" if body is None else orjson.dumps(body)
     with contextlib.closing(connection):
         connection.request(method, path, content, dict(headers or {}))
         answer = connection.getresponse()
-        return HttpAnswer(answer.status, dict(answer.getheaders()), answer.read())
+        return HttpResponse(answer.status, dict(answer.getheaders()), answer.read())
 
 
 class Fleet:
     """Stand-ins and daemons; use as a context manager."""
 
     def __init__(self, plan: FleetPlan | None = None) -> None:
-        """Take the plan; nothing runs yet."""
+        """Create a fleet; entering it as a context manager starts the processes."""
         self.plan = plan or FleetPlan()
         self.platform_address = ""
         self.engines: dict[str, str] = {}
@@ -133,16 +133,16 @@
         return daemon
 
     def find_data_centre(self, daemon: ChildProcess) -> str:
-        """Return where a daemon stands."""
+        """Return the data centre of a daemon."""
         return self._choose_data_centre(self.daemons.index(daemon))
 
     def restart_engine(self, name: str) -> None:
-        """Start an engine that has ended again at its address; returns when it listens."""
+        """Restart a stopped engine at its address; returns when it listens."""
         _, _, port = self.engines[name].rpartition(":")
         self._spawn_engine(name, port).wait_listening()
 
     def describe_configuration(self, customers: Mapping[str, Any]) -> dict[str, Any]:
-        """Return a document with this fleet's upstreams; a customer's key is `key-NAME`."""
+        """Return a configuration with this fleet's upstreams; a customer's key is `key-NAME`."""
         centres = self.plan.data_centres
         upstreams: dict[str, Any] = {
             name: {
@@ -180,7 +180,7 @@
             },
         }
 
-    def patch_configuration(self, base_version: int, patch: Any, daemon: int = 0) -> HttpAnswer:
+    def patch_configuration(self, base_version: int, patch: Any, daemon: int = 0) -> HttpResponse:
         """Patch the configuration as an operator would."""
         request = {"base_version": base_version, "patch_id": uuid.uuid4().hex, "patch": patch}
         return send_request(
@@ -192,7 +192,7 @@
         )
 
     def set_faults(self, name: str, faults: Mapping[str, Any]) -> None:
-        """Switch faults of one stand-in (`platform`, `service`, `engine0`...)."""
+        """Replace the faults of one stand-in (`platform`, `service`, `engine0`...)."""
         send_request(self.processes[name].wait_listening(), "PUT", "/faults", faults)
 
     def _choose_data_centre(self, number: int) -> str:
--- a/standins/demo/process.py
+++ b/standins/demo/process.py
@@ -1,4 +1,4 @@
-"""One child process that says where it listens."""
+"""Child process that reports its listening address."""
 
 import contextlib
 import os
@@ -15,15 +15,15 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-class ProcessFailed(RuntimeError):
-    """A child ended before it listened."""
+class ProcessStartError(RuntimeError):
+    """A child process did not reach its listening state."""
 
 
 class ChildProcess:
-    """A Python module run as a process; its JSON lines are read for `listening`."""
+    """A Python module run as a process; its address is the `listening` field of a JSON line."""
 
     def __init__(self, name: str, module: str, arguments: Sequence[str]) -> None:
-        """Start the process; `wait_listening` tells when it serves."""
+        """Start the process; `wait_listening` waits until it serves."""
         self.name = name
         self.lines: list[dict[str, Any]] = []
         self._address = ""
@@ -45,25 +45,25 @@
         return self._process.pid
 
     def wait_listening(self, timeout_s: float = 30.0) -> str:
-        """Return HOST:PORT once the process serves; raises `ProcessFailed`."""
+        """Return HOST:PORT once the process serves; raises `ProcessStartError`."""
         if not self._listening.wait(timeout_s) or not self._address:
-            raise ProcessFailed(f"{self.name} does not listen: {self.lines[-5:]}")
+            raise ProcessStartError(f"{self.name} does not listen: {self.lines[-5:]}")
         return self._address
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal, if the process still runs."""
+        """Send a signal if the process is still running."""
         with contextlib.suppress(ProcessLookupError):
             self._process.send_signal(number)
 
     def wait(self, timeout_s: float) -> int | None:
-        """Return the exit status, or None if the process still runs after the time."""
+        """Return the exit status, or None if the process is still running after `timeout_s`."""
         try:
             return self._process.wait(timeout_s)
         except subprocess.TimeoutExpired:
             return None
 
     def close(self, timeout_s: float = 10.0) -> int | None:
-        """Ask the process to stop, then make it; returns its exit status."""
+        """Terminate the process, and kill it after `timeout_s`; returns its exit status."""
         if self._process.poll() is None:
             self.send_signal(signal.SIGCONT)
             self.send_signal(signal.SIGTERM)
--- a/standins/engine/__init__.py
+++ b/standins/engine/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in for an inference engine."""
+"""Stand-in for an inference engine."""
--- a/standins/engine/__main__.py
+++ b/standins/engine/__main__.py
@@ -1,4 +1,4 @@
-"""The engine's stand-in as a process over HTTP."""
+"""HTTP server of the engine stand-in."""
 
 import asyncio
 import dataclasses
@@ -16,22 +16,22 @@
 from standins.engine.requests import (
     END_MARKER,
     ParsedRequest,
-    encode_answer,
     encode_event,
+    encode_response,
     parse_request,
 )
 from standins.serving import run_standin
 
 app = App(help="Stand-in for an inference engine.")
 
-ENDED = (GenerationState.DONE, GenerationState.CANCELLED, GenerationState.LOST)
+FINAL_STATES = (GenerationState.DONE, GenerationState.CANCELLED, GenerationState.LOST)
 
 
 class EngineHandler(RequestHandler):
-    """What all handlers share."""
+    """Base of all handlers."""
 
     def initialize(self, engine: EngineModel, received: list[bytes]) -> None:
-        """Keep the stand-in and the record of all it received."""
+        """Set the engine model and the list of all received requests."""
         self.engine = engine
         self.received = received
 
@@ -52,7 +52,7 @@
             return
         if faults.crash_marker and faults.crash_marker.encode() in self.request.body:
             self.engine.crash()
-            self._hang_up()
+            self._close_connection()
             return
         try:
             request = self._parse()
@@ -78,7 +78,7 @@
         self.set_header("X-Not-Run", "true")
         self.finish({"error": {"message": why, "type": "unavailable"}})
 
-    def _hang_up(self) -> None:
+    def _close_connection(self) -> None:
         self.request.connection.stream.close()  # type: ignore[union-attr]
 
     async def _async_generate(self, request: ParsedRequest) -> None:
@@ -93,27 +93,27 @@
             else:
                 await self._async_answer(request)
         except StreamClosedError:
-            # Engines stop a request whose connection is gone only when told to.
+            # Engines stop a request whose connection is closed only when it is cancelled.
             return
 
     async def _async_stream(self, request: ParsedRequest) -> None:
         self.set_header("Content-Type", "text/event-stream")
         generation = request.generation
         index = self.first_index
-        opened_in_silence = self.engine.faults.silent
+        silent_at_start = self.engine.faults.silent
         while True:
             generation.advanced.clear()
-            while self.engine.faults.silent and not opened_in_silence:
+            while self.engine.faults.silent and not silent_at_start:
                 await asyncio.sleep(0.05)
                 if self.request.connection.stream.closed():  # type: ignore[union-attr]
                     return
             events = []
             while index < generation.produced:
-                last = index + 1 >= generation.wanted_tokens
+                last = index + 1 >= generation.target_tokens
                 text = make_token(generation.seed, index)
                 events.append(encode_event(request, index, text, last=last))
                 index += 1
-            ended = generation.state in ENDED
+            ended = generation.state in FINAL_STATES
             if generation.state is GenerationState.DONE and not self.engine.faults.drop_end:
                 events.append(END_MARKER)
             if events:
@@ -121,29 +121,29 @@
                 await self.flush()
             if ended:
                 break
-            if generation.state in ENDED:
-                # It ended while a slow caller took the last events.
+            if generation.state in FINAL_STATES:
+                # It ended while a slow caller was reading the last events.
                 continue
             await generation.advanced.wait()
         if generation.state is not GenerationState.DONE or self.engine.faults.drop_end:
-            self._hang_up()
+            self._close_connection()
 
     async def _async_answer(self, request: ParsedRequest) -> None:
         generation = request.generation
-        while generation.state not in ENDED:
+        while generation.state not in FINAL_STATES:
             generation.advanced.clear()
             await generation.advanced.wait()
         if generation.state is not GenerationState.DONE or self.engine.faults.drop_end:
-            self._hang_up()
+            self._close_connection()
             return
         seed = generation.seed
-        text = "".join(make_token(seed, index) for index in range(generation.wanted_tokens))
+        text = "".join(make_token(seed, index) for index in range(generation.target_tokens))
         self.set_header("Content-Type", "application/json")
-        self.finish(encode_answer(request, text))
+        self.finish(encode_response(request, text))
 
 
 class ResumeHandler(GenerateHandler):
-    """Goes on with a request, known here or not, after the tokens already received."""
+    """Continues a request, known here or not, after the tokens that its caller has."""
 
     def _parse(self) -> ParsedRequest:
         resumption = orjson.loads(self.request.body)
@@ -154,7 +154,7 @@
 
 
 class CancelHandler(EngineHandler):
-    """Cancelling."""
+    """Cancellation of requests."""
 
     def post(self, request_id: str) -> None:
         """Stop a request."""
@@ -173,7 +173,7 @@
         self.finish(state or b"null")
 
     async def put(self, request_id: str) -> None:
-        """Import a request's state: its tokens will not be prefilled again."""
+        """Import a request's state, whose tokens then need no prefill."""
         await self.engine.async_import_kv(request_id, self.request.body)
         self.finish(b"null")
 
@@ -187,7 +187,7 @@
 
 
 class CacheEventHandler(EngineHandler):
-    """Cache events."""
+    """Events of the prefix cache."""
 
     def get(self) -> None:
         """Return events after a sequence number."""
@@ -196,10 +196,10 @@
 
 
 class OrderHandler(EngineHandler):
-    """Orders."""
+    """Orders to load, unload or change models, adapters and the role."""
 
     async def post(self) -> None:
-        """Carry one order out."""
+        """Apply one order; status 409 if its fencing number is too old."""
         order = Order(**orjson.loads(self.request.body))
         if not await self.engine.async_apply_order(order):
             self.set_status(409)
@@ -207,10 +207,10 @@
 
 
 class FaultHandler(EngineHandler):
-    """Faults, and what was received (tests and demo only)."""
+    """Faults and the requests received (tests and demo only)."""
 
     def get(self) -> None:
-        """Return everything received, as one text."""
+        """Return all received requests as one text."""
         self.finish(b"\n".join(self.received))
 
     def put(self) -> None:
@@ -240,7 +240,7 @@
 
 
 async def async_serve(engine: EngineModel, address: str, port: int) -> None:
-    """Decode and serve until SIGTERM."""
+    """Run the engine and serve until SIGTERM."""
     decoding = asyncio.ensure_future(engine.async_run())
     try:
         await run_standin(create_application(engine), address, port)
--- a/standins/engine/client.py
+++ b/standins/engine/client.py
@@ -1,4 +1,4 @@
-"""Engines and services in process, behind the daemon's protocols, with faults to switch on."""
+"""In-process engines and services behind the daemon's client protocols, with faults."""
 
 import asyncio
 import dataclasses
@@ -24,16 +24,16 @@
 from goldcreststair.upstreams.protocols import StreamSink, UpstreamClients
 from standins.engine.model import EngineModel, make_token
 from standins.engine.models import EngineParameters, GenerationState
-from standins.engine.requests import ParsedRequest, encode_answer, encode_event, parse_request
+from standins.engine.requests import ParsedRequest, encode_event, encode_response, parse_request
 
-ENDED = (GenerationState.DONE, GenerationState.CANCELLED, GenerationState.LOST)
+FINAL_STATES = (GenerationState.DONE, GenerationState.CANCELLED, GenerationState.LOST)
 IDLE_TIMEOUT_MS = 5000
 SILENT_POLL_MS = 50
 
 
 @dataclass(slots=True)
 class ServiceRecord:
-    """What a plain service in process did, and its faults."""
+    """Runs and faults of an in-process plain service."""
 
     runs: list[ServiceCall] = field(default_factory=list)
     lose_answers: int = 0
@@ -45,11 +45,11 @@
     """All upstreams of a test by address; implements both client protocols."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start with no upstream."""
+        """Create a set without upstreams."""
         self.engines: dict[str, EngineModel] = {}
         self.services: dict[str, ServiceRecord] = {}
         self.calls: list[tuple[str, GenerateCall | ServiceCall]] = []
-        """Everything upstreams received: address and call."""
+        """Address and call of everything that upstreams received."""
         self.unreachable: set[str] = set()
         self._clock = clock
         self._decoding: list[asyncio.Task[None]] = []
@@ -61,7 +61,7 @@
         parameters: EngineParameters | None = None,
         seed: int = 1,
     ) -> EngineModel:
-        """Start an engine; call on a running loop."""
+        """Start an engine; requires a running event loop."""
         engine = EngineModel(self._clock, parameters or EngineParameters(), models, seed)
         self.engines[address] = engine
         self._decoding.append(asyncio.create_task(engine.async_run()))
@@ -91,7 +91,7 @@
             return Err(UpstreamError("no route", UpstreamFailure.CONNECT))
         self.calls.append((upstream.address, call))
         engine = self.engines[upstream.address]
-        refused = self._refuse(engine, call)
+        refused = self._check_refusal(engine, call)
         if refused is not None:
             return Err(refused)
         try:
@@ -137,7 +137,7 @@
     async def async_send_order(
         self, upstream: Upstream, order: Order
     ) -> Result[None, UpstreamError]:
-        """Give an order."""
+        """Send an order to an engine."""
         if upstream.address in self.unreachable:
             return Err(UpstreamError("no route", UpstreamFailure.CONNECT))
         engine = self.engines[upstream.address]
@@ -163,7 +163,7 @@
     async def async_import_kv(
         self, upstream: Upstream, request_id: str, state: bytes
     ) -> Result[None, UpstreamError]:
-        """Give an engine the KV state of a request."""
+        """Import the KV state of a request into an engine."""
         if upstream.address in self.unreachable:
             return Err(UpstreamError("no route", UpstreamFailure.CONNECT))
         await self.engines[upstream.address].async_import_kv(request_id, state)
@@ -189,7 +189,7 @@
         body = orjson.dumps({"path": call.path, "run": len(record.runs)})
         return Ok(ServiceResponse(200, body, "application/json"))
 
-    def _refuse(self, engine: EngineModel, call: GenerateCall) -> UpstreamError | None:
+    def _check_refusal(self, engine: EngineModel, call: GenerateCall) -> UpstreamError | None:
         faults = engine.faults
         if faults.refuse or engine.draining:
             return UpstreamError("not accepting requests", UpstreamFailure.REFUSED, 503)
@@ -206,33 +206,33 @@
     ) -> Result[GenerateEnd, UpstreamError]:
         generation = request.generation
         index = call.resume_after + 1
-        opened_in_silence = engine.faults.silent
+        silent_at_start = engine.faults.silent
         while True:
             generation.advanced.clear()
-            silent = engine.faults.silent and not opened_in_silence
-            if silent and not await self._async_outlast_silence(engine, call):
+            silent = engine.faults.silent and not silent_at_start
+            if silent and not await self._async_wait_while_silent(engine, call):
                 return Err(UpstreamError("no progress", UpstreamFailure.SILENT))
             if call.stream and index < generation.produced:
                 chunk = _make_chunk(request, index)
                 index = chunk.last_index + 1
-                # A slow caller: more may have been produced meanwhile, the end included.
+                # A slow caller may take long, so that more tokens or the end may follow at once.
                 await sink.async_accept(chunk)
                 continue
-            if generation.state in ENDED:
+            if generation.state in FINAL_STATES:
                 break
             await generation.advanced.wait()
         if generation.state is not GenerationState.DONE:
             return Err(UpstreamError("connection closed early", UpstreamFailure.LOST))
         if engine.faults.drop_end:
             return Err(UpstreamError("no end marker", UpstreamFailure.INCOMPLETE))
-        wanted = generation.wanted_tokens
+        target = generation.target_tokens
         if call.stream:
-            return Ok(GenerateEnd(b"", wanted - call.resume_after - 1, wanted - 1))
-        text = "".join(make_token(generation.seed, i) for i in range(wanted))
-        return Ok(GenerateEnd(encode_answer(request, text), wanted, wanted - 1))
+            return Ok(GenerateEnd(b"", target - call.resume_after - 1, target - 1))
+        text = "".join(make_token(generation.seed, i) for i in range(target))
+        return Ok(GenerateEnd(encode_response(request, text), target, target - 1))
 
-    async def _async_outlast_silence(self, engine: EngineModel, call: GenerateCall) -> bool:
-        """Wait while the engine is silent; False if the idle time runs out first."""
+    async def _async_wait_while_silent(self, engine: EngineModel, call: GenerateCall) -> bool:
+        """Wait while the engine is silent; False if the idle time-out expires first."""
         for _ in range(IDLE_TIMEOUT_MS // SILENT_POLL_MS):
             await self._clock.async_sleep(SILENT_POLL_MS)
             if not engine.faults.silent:
@@ -248,7 +248,7 @@
             request,
             index,
             make_token(generation.seed, index),
-            last=index + 1 >= generation.wanted_tokens,
+            last=index + 1 >= generation.target_tokens,
         )
         for index in range(first, last + 1)
     )
--- a/standins/engine/model.py
+++ b/standins/engine/model.py
@@ -1,4 +1,6 @@
-"""Continuous batching with a first-come queue, bounded KV memory and a prefix cache."""
+"""Continuous batching with a first-come-first-served queue, bounded KV memory and a prefix
+cache.
+"""
 
 import asyncio
 import hashlib
@@ -13,34 +15,34 @@
 from standins.engine.models import EngineFaults, EngineParameters, Generation, GenerationState
 from standins.engine.served import ServedState
 
-KEPT_GENERATIONS: Final = 2000
-KEPT_EVENTS: Final = 5000
+MAX_KNOWN_GENERATIONS: Final = 2000
+MAX_EVENTS: Final = 5000
 WORDS: Final = ("amber", "birch", "cedar", "delta", "ember", "fjord", "grove", "heron")
 
 
 def make_token(seed: str, index: int) -> str:
-    """Return token `index` of an answer; depends on nothing else, so any engine agrees."""
+    """Return token `index` of an answer; depends only on the arguments, so all engines agree."""
     return f"{WORDS[(int(seed[:8], 16) + index * 7) % len(WORDS)]}{index} "
 
 
 def make_text(prompt: str, tokens: int) -> str:
-    """Return the whole answer to a joined prompt, as every engine would give it."""
+    """Return the whole answer to a joined prompt, the same for every engine."""
     seed = make_seed(prompt.encode())
     return "".join(make_token(seed, index) for index in range(tokens))
 
 
 def make_seed(prompt: bytes) -> str:
-    """Return what an answer's tokens are made from."""
+    """Return the seed of an answer's tokens."""
     return hashlib.sha256(prompt).hexdigest()
 
 
 class EngineModel:
-    """One engine; the same on a virtual clock and behind HTTP."""
+    """One engine, used on a virtual clock and behind HTTP."""
 
     def __init__(
         self, clock: Clock, parameters: EngineParameters, models: tuple[str, ...], seed: int = 1
     ) -> None:
-        """Start with nothing running; `async_run` does the decoding."""
+        """Create an idle engine; `async_run` decodes."""
         self.parameters = parameters
         self.faults = EngineFaults()
         self.served = ServedState(models)
@@ -52,11 +54,11 @@
         self.tokens_produced = 0
         self._clock = clock
         self._random = random.Random(seed)
-        self._waiting: deque[Generation] = deque()
+        self._queue: deque[Generation] = deque()
         self._running: list[Generation] = []
         self._known: OrderedDict[str, Generation] = OrderedDict()
         self._prefixes: OrderedDict[str, None] = OrderedDict()
-        self._events: deque[tuple[int, CacheEvent]] = deque(maxlen=KEPT_EVENTS)
+        self._events: deque[tuple[int, CacheEvent]] = deque(maxlen=MAX_EVENTS)
         self._event_sequence = 0
         self._reports: deque[tuple[int, LoadReport]] = deque()
         self._report_sequence = 0
@@ -64,7 +66,7 @@
         self.kv = KvTransfers(clock, parameters)
 
     def submit(self, generation: Generation) -> Generation:
-        """Queue a request, or return the one already known by this id."""
+        """Queue a request, or return the known one of this id unless it was cancelled or lost."""
         known = self._known.get(generation.request_id)
         if known is not None and known.state not in (
             GenerationState.CANCELLED,
@@ -72,14 +74,14 @@
         ):
             return known
         self._known[generation.request_id] = generation
-        while len(self._known) > KEPT_GENERATIONS:
+        while len(self._known) > MAX_KNOWN_GENERATIONS:
             self._known.popitem(last=False)
-        self._waiting.append(generation)
+        self._queue.append(generation)
         self._work.set()
         return generation
 
     def find(self, request_id: str) -> Generation | None:
-        """Return a request by id, finished ones included for a while."""
+        """Return a request by id; finished ones are kept for a while."""
         return self._known.get(request_id)
 
     def cancel(self, request_id: str) -> None:
@@ -101,18 +103,18 @@
         self._event_sequence += 1000
 
     def restart_empty(self) -> None:
-        """Crash and come back without any model."""
+        """Crash and restart without any model."""
         self.crash()
         self.served.clear()
 
     async def async_import_kv(self, request_id: str, state: bytes) -> None:
-        """Take a request's state and its prompt's blocks in without prefilling them."""
+        """Import a request's state and cache its prompt's blocks without prefill."""
         prompt = await self.kv.async_import(request_id, state)
         for prefix in self._split_prefixes(prompt):
             self._prefixes[prefix] = None
 
     def read_report(self) -> LoadReport:
-        """Return the load as it stood a lag ago."""
+        """Return the load report of `report_lag_ms` ago."""
         horizon = self._clock.now() - self.parameters.report_lag_ms
         while len(self._reports) > 1 and self._reports[1][0] <= horizon:
             self._reports.popleft()
@@ -121,14 +123,14 @@
         return self._make_report()
 
     def read_events(self, after_sequence: int) -> tuple[CacheEvent, ...]:
-        """Return published cache events after a sequence number."""
+        """Return the published cache events after a sequence number."""
         horizon = self._clock.now() - self.parameters.event_lag_ms
         return tuple(
             event for at, event in self._events if at <= horizon and event.sequence > after_sequence
         )
 
     async def async_apply_order(self, order: Order) -> bool:
-        """Carry an order out; returns False if its fencing number is too old."""
+        """Apply an order; returns False if its fencing number is too old."""
         if self.parameters.checks_fencing and order.fencing < self.fencing:
             return False
         self.fencing = max(self.fencing, order.fencing)
@@ -141,8 +143,8 @@
         return True
 
     def _drop_unserved(self) -> None:
-        """Lose the requests whose model was taken from under them."""
-        for generation in (*self._waiting, *self._running):
+        """End the requests whose model is no longer loaded as lost."""
+        for generation in (*self._queue, *self._running):
             if not self.served.serves(generation.model):
                 self._end(generation, GenerationState.LOST)
 
@@ -150,7 +152,7 @@
         """Decode until cancelled."""
         while True:
             self._record_report()
-            if self.faults.pause or not (self._waiting or self._running):
+            if self.faults.pause or not (self._queue or self._running):
                 await self._async_idle()
                 continue
             prefill_ms = self._admit()
@@ -171,27 +173,27 @@
     def _admit(self) -> float:
         """Move queued requests into the batch in order; returns their prefill time in ms."""
         prefill_ms = 0.0
-        while self._waiting and len(self._running) < self.parameters.max_running:
-            head = self._waiting[0]
-            if self._count_kv() + head.kv_need > self.parameters.kv_tokens and self._running:
+        while self._queue and len(self._running) < self.parameters.max_running:
+            first = self._queue[0]
+            if self._count_kv() + first.max_kv_tokens > self.parameters.kv_tokens and self._running:
                 break
-            self._waiting.popleft()
-            if head.state is not GenerationState.WAITING:
+            self._queue.popleft()
+            if first.state is not GenerationState.WAITING:
                 continue
-            if head.produced >= head.wanted_tokens:
-                # Resumed after its last token: only the end marker is left to send.
-                self._end(head, GenerationState.DONE)
+            if first.produced >= first.target_tokens:
+                # Resumed after its last token, so that only the end marker is still to be sent.
+                self._end(first, GenerationState.DONE)
                 continue
-            head.state = GenerationState.RUNNING
-            self._running.append(head)
-            prefill_ms += self._prefill(head) * self.parameters.prefill_per_token_ms
+            first.state = GenerationState.RUNNING
+            self._running.append(first)
+            prefill_ms += self._prefill(first) * self.parameters.prefill_per_token_ms
         return prefill_ms
 
     def _prefill(self, generation: Generation) -> int:
-        """Put the prompt's blocks into the cache; returns how many tokens were not there."""
+        """Cache the prompt's blocks; returns the number of tokens to prefill."""
         missing = generation.prompt_tokens
-        generation.began_at = generation.produced
-        imported = self.kv.take(generation.request_id)
+        generation.first_index = generation.produced
+        imported = self.kv.pop_imported_tokens(generation.request_id)
         size = self.parameters.prefix_block_tokens
         for prefix in self._split_prefixes(generation.prompt):
             if prefix in self._prefixes:
@@ -225,7 +227,7 @@
                 continue
             generation.produced += 1
             self.tokens_produced += 1
-            if generation.produced >= generation.wanted_tokens:
+            if generation.produced >= generation.target_tokens:
                 self._end(generation, GenerationState.DONE)
             else:
                 generation.advanced.set()
@@ -237,14 +239,14 @@
         generation.advanced.set()
 
     def _count_kv(self) -> int:
-        return sum(generation.kv_need for generation in self._running)
+        return sum(generation.max_kv_tokens for generation in self._running)
 
     def _record_report(self) -> None:
         self._report_sequence += 1
         self._reports.append((self._clock.now(), self._make_report()))
 
     def _make_report(self) -> LoadReport:
-        waiting = [g for g in self._waiting if g.state is GenerationState.WAITING]
+        waiting = [g for g in self._queue if g.state is GenerationState.WAITING]
         return LoadReport(
             self._report_sequence,
             len(self._running),
--- a/standins/engine/requests.py
+++ b/standins/engine/requests.py
@@ -1,4 +1,4 @@
-"""The engine's side of the OpenAI-compatible format."""
+"""OpenAI-compatible requests and answers, as an engine reads and writes them."""
 
 from dataclasses import dataclass
 from typing import Any, Final
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedRequest:
-    """A request body taken apart."""
+    """A parsed request body."""
 
     model: str
     chat: bool
@@ -23,18 +23,18 @@
 
 
 def parse_request(path: str, request_id: str, body: bytes, prior: str = "") -> ParsedRequest:
-    """Parse a body; raises `ValueError` or `KeyError` if it is bad."""
+    """Parse a body; raises `ValueError` or `KeyError` if it is invalid."""
     request: dict[str, Any] = orjson.loads(body)
     chat = path.endswith("/chat/completions")
     prompt = _join_messages(request["messages"]) if chat else str(request["prompt"])
-    wanted = int(request.get("max_tokens") or DEFAULT_TOKENS)
-    if wanted < 1:
+    max_tokens = int(request.get("max_tokens") or DEFAULT_TOKENS)
+    if max_tokens < 1:
         raise ValueError("max_tokens must be positive")
     generation = Generation(
         request_id=request_id,
         prompt=prompt,
         prompt_tokens=max(1, len(prompt.split()) + len(prior.split())),
-        wanted_tokens=wanted,
+        target_tokens=max_tokens,
         seed=make_seed(prompt.encode()),
         model=request["model"],
     )
@@ -46,7 +46,7 @@
 
 
 def encode_event(request: ParsedRequest, index: int, text: str, *, last: bool) -> bytes:
-    """Return one token as a server-sent event, its index as the event's id."""
+    """Return one token as a server-sent event whose id is the token's index."""
     reason = "stop" if last else None
     choice: dict[str, Any] = {"index": 0, "finish_reason": reason}
     if request.chat:
@@ -62,7 +62,7 @@
     return b"id: %d\ndata: %s\n\n" % (index, orjson.dumps(event))
 
 
-def encode_answer(request: ParsedRequest, text: str) -> bytes:
+def encode_response(request: ParsedRequest, text: str) -> bytes:
     """Return the whole answer as JSON."""
     generation = request.generation
     choice: dict[str, Any] = {"index": 0, "finish_reason": "stop"}
@@ -72,8 +72,8 @@
         choice["text"] = text
     usage = {
         "prompt_tokens": generation.prompt_tokens,
-        "completion_tokens": generation.wanted_tokens,
-        "total_tokens": generation.prompt_tokens + generation.wanted_tokens,
+        "completion_tokens": generation.target_tokens,
+        "total_tokens": generation.prompt_tokens + generation.target_tokens,
     }
     answer = {
         "id": generation.request_id,
--- a/standins/engine/served.py
+++ b/standins/engine/served.py
@@ -1,4 +1,4 @@
-"""What the engine's stand-in serves, and how orders change it."""
+"""Models, adapters and role of the engine stand-in, changed by orders."""
 
 from goldcreststair.upstreams.models import Order
 
@@ -6,10 +6,10 @@
 
 
 class ServedState:
-    """Models with their versions, adapters, and the role."""
+    """Loaded models with their versions, loaded adapters, and the role."""
 
     def __init__(self, models: tuple[str, ...]) -> None:
-        """Start with some models at their first version."""
+        """Create a state with some models at their first version."""
         self.versions: dict[str, str] = dict.fromkeys(models, FIRST_VERSION)
         self.adapters: set[str] = set()
         self.role = "mixed"
@@ -19,13 +19,13 @@
         return name in self.versions or name in self.adapters
 
     def clear(self) -> None:
-        """Unload everything, as a restart without its models does."""
+        """Unload everything, as a restart without models does."""
         self.versions.clear()
         self.adapters.clear()
         self.role = "mixed"
 
     def apply(self, order: Order) -> None:
-        """Carry an order out; the same again changes nothing."""
+        """Apply an order; applying it again changes nothing."""
         match order.action:
             case "load_model" | "set_version":
                 self.versions[order.target] = order.value or FIRST_VERSION
--- a/standins/measure/batch_policies.py
+++ b/standins/measure/batch_policies.py
@@ -43,7 +43,7 @@
     @property
     def limit(self) -> int:
         """Slots that online leaves, or the share of a burst."""
-        held = [*self._engine._running, *self._engine._waiting]
+        held = [*self._engine._running, *self._engine._queue]
         online = sum(1 for one in held if one.request_id.startswith("online-"))
         free = max(0, self._engine.parameters.max_running - online - self._reserve)
         now = self._clock.now()
--- a/standins/platform/__init__.py
+++ b/standins/platform/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in for the platform's services."""
+"""Stand-in for the platform's services."""
--- a/standins/platform/__main__.py
+++ b/standins/platform/__main__.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in as a process over HTTP."""
+"""HTTP server of the platform stand-in."""
 
 import asyncio
 import base64
@@ -33,14 +33,14 @@
 
 
 class PlatformHandler(RequestHandler):
-    """What all handlers share."""
+    """Base of all handlers."""
 
     def initialize(self, platform: FakePlatform) -> None:
-        """Keep the stand-in."""
+        """Set the platform model."""
         self.platform = platform
 
-    def answer(self, outcome: Result[Any, PlatformError]) -> None:
-        """Send a value, or the status that stands for the error."""
+    def send_result(self, outcome: Result[Any, PlatformError]) -> None:
+        """Send a value or an error status; an unknown outcome closes the connection."""
         if not isinstance(outcome, Err):
             self.finish(orjson.dumps(outcome.ok_value))
             return
@@ -63,13 +63,13 @@
         request = orjson.loads(self.request.body)
         if action == "read":
             rows = await self.platform.async_read_many(request["keys"])
-            self.answer(rows.map(lambda found: [encode_row(row) for row in found]))
+            self.send_result(rows.map(lambda found: [encode_row(row) for row in found]))
         elif action == "scan":
             scanned = await self.platform.async_scan(**request)
-            self.answer(scanned.map(lambda found: [encode_row(row) for row in found]))
+            self.send_result(scanned.map(lambda found: [encode_row(row) for row in found]))
         else:
             writes = [_decode_write(raw) for raw in request["writes"]]
-            self.answer(await self.platform.async_write(writes))
+            self.send_result(await self.platform.async_write(writes))
 
 
 def _decode_write(raw: Any) -> RowWrite:
@@ -82,19 +82,19 @@
 
     async def put(self, name: str) -> None:
         """Store an object."""
-        self.answer(await self.platform.async_put(name, self.request.body))
+        self.send_result(await self.platform.async_put(name, self.request.body))
 
     async def get(self, name: str) -> None:
         """Return an object."""
         outcome = await self.platform.async_get(name)
         if isinstance(outcome, Err):
-            self.answer(outcome)
+            self.send_result(outcome)
         else:
             self.finish(outcome.ok_value)
 
     async def delete(self, name: str) -> None:
         """Remove an object."""
-        self.answer(await self.platform.async_delete(name))
+        self.send_result(await self.platform.async_delete(name))
 
 
 class VmListHandler(PlatformHandler):
@@ -103,7 +103,7 @@
     async def get(self) -> None:
         """Return the list."""
         listed = await self.platform.async_list()
-        self.answer(listed.map(lambda vms: [dataclasses.asdict(vm) for vm in vms]))
+        self.send_result(listed.map(lambda vms: [dataclasses.asdict(vm) for vm in vms]))
 
     async def put(self) -> None:
         """Replace the list (tests and demo only)."""
@@ -120,7 +120,7 @@
     async def get(self, model: str) -> None:
         """Describe a model's weights."""
         described = await self.platform.async_describe(model)
-        self.answer(described.map(lambda size: {"bytes": size}))
+        self.send_result(described.map(lambda size: {"bytes": size}))
 
     async def put(self, model: str) -> None:
         """Add a model's weights (tests and demo only)."""
@@ -129,10 +129,10 @@
 
 
 class FaultHandler(PlatformHandler):
-    """Faults and counts (tests and demo only)."""
+    """Faults and counts of calls (tests and demo only)."""
 
     async def get(self) -> None:
-        """Return the counts."""
+        """Return the counts of calls."""
         self.finish(orjson.dumps(dataclasses.asdict(self.platform.counts)))
 
     async def put(self) -> None:
--- a/standins/platform/store.py
+++ b/standins/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's services in memory, with faults to switch on."""
+"""In-memory platform services with faults."""
 
 import asyncio
 from bisect import bisect_right, insort
@@ -25,20 +25,20 @@
     """Faults in force; tests change them at any time."""
 
     down: bool = False
-    """Refuse every call without effect."""
+    """Refuse every call; none takes effect."""
     slow_ms: int = 0
-    """Wait this long before each call takes effect."""
+    """Delay before each call takes effect, ms."""
     lose_answers: int = 0
-    """So many next writes take effect but their answers are lost."""
+    """Number of next writes that take effect but whose answers are lost."""
     lose_answer_share: float = 0.0
-    """Fraction of writes whose answer is lost after effect."""
+    """Fraction of writes that take effect but whose answers are lost."""
     list_lag_ms: int = 0
-    """Age of the list of VMs."""
+    """Age of the list of VMs, ms."""
 
 
 @dataclass(slots=True)
 class PlatformCounts:
-    """Calls the platform served."""
+    """Counts of the calls that the platform served."""
 
     reads: int = 0
     writes: int = 0
@@ -59,15 +59,15 @@
     objects: dict[str, bytes] = field(default_factory=dict)
     weights: dict[str, int] = field(default_factory=dict)
     _keys: list[str] = field(default_factory=list)
-    _lists: list[tuple[int, tuple[ListedVm, ...]]] = field(default_factory=list)
+    _vm_lists: list[tuple[int, tuple[ListedVm, ...]]] = field(default_factory=list)
 
     def as_platform(self) -> Platform:
-        """Return this stand-in under the platform's protocols."""
+        """Return this stand-in as the platform's protocols."""
         return Platform(self, self, self, self)
 
     def set_vms(self, vms: Sequence[ListedVm]) -> None:
-        """Change the list of VMs; readers see it after the lag."""
-        self._lists.append((self.clock.now(), tuple(vms)))
+        """Change the list of VMs; readers see it after `list_lag_ms`."""
+        self._vm_lists.append((self.clock.now(), tuple(vms)))
 
     async def async_read(self, key: str) -> Result[Row | None, PlatformError]:
         """Return one row, or None if it does not exist."""
@@ -78,7 +78,7 @@
         self, keys: Sequence[str]
     ) -> Result[tuple[Row | None, ...], PlatformError]:
         """Return rows in the order of `keys`."""
-        refused = await self._async_enter()
+        refused = await self._async_begin_call()
         if refused is not None:
             return Err(refused)
         self.counts.reads += len(keys)
@@ -87,8 +87,8 @@
     async def async_scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> Result[tuple[Row, ...], PlatformError]:
-        """Return rows by prefix in the order of their keys."""
-        refused = await self._async_enter()
+        """Return up to `limit` rows by prefix after a key, in the order of their keys."""
+        refused = await self._async_begin_call()
         if refused is not None:
             return Err(refused)
         self.counts.reads += 1
@@ -99,8 +99,8 @@
     async def async_write(
         self, writes: Sequence[RowWrite]
     ) -> Result[tuple[int, ...], PlatformError | RowConflict]:
-        """Apply all writes or none."""
-        refused = await self._async_enter()
+        """Apply all writes, or none if a row has another version."""
+        refused = await self._async_begin_call()
         if refused is not None:
             return Err(refused)
         self.counts.writes += 1
@@ -109,24 +109,24 @@
             if (current.version if current else 0) != write.expected_version:
                 return Err(RowConflict("version conflict", current))
         versions = tuple(self._apply(write) for write in writes)
-        if self._take_lost_answer():
+        if self._consume_lost_answer():
             return Err(PlatformOutcomeUnknown("answer lost"))
         return Ok(versions)
 
     async def async_put(self, name: str, content: bytes) -> Result[None, PlatformError]:
         """Store an object."""
-        refused = await self._async_enter()
+        refused = await self._async_begin_call()
         if refused is not None:
             return Err(refused)
         self.counts.object_writes += 1
         self.objects[name] = content
-        if self._take_lost_answer():
+        if self._consume_lost_answer():
             return Err(PlatformOutcomeUnknown("answer lost"))
         return Ok(None)
 
     async def async_get(self, name: str) -> Result[bytes, PlatformError | ObjectMissing]:
         """Return an object's content."""
-        refused = await self._async_enter()
+        refused = await self._async_begin_call()
         if refused is not None:
             return Err(refused)
         self.counts.object_reads += 1
@@ -136,7 +136,7 @@
 
     async def async_delete(self, name: str) -> Result[None, PlatformError]:
         """Remove an object."""
-        refused = await self._async_enter()
+        refused = await self._async_begin_call()
         if refused is not None:
             return Err(refused)
         self.counts.object_writes += 1
@@ -144,25 +144,25 @@
         return Ok(None)
 
     async def async_list(self) -> Result[tuple[ListedVm, ...], PlatformError]:
-        """Return the list of VMs as it stood a lag ago."""
-        refused = await self._async_enter()
+        """Return the list of VMs of `list_lag_ms` ago."""
+        refused = await self._async_begin_call()
         if refused is not None:
             return Err(refused)
         self.counts.list_reads += 1
         horizon = self.clock.now() - self.faults.list_lag_ms
-        known = [vms for at, vms in self._lists if at <= horizon]
+        known = [vms for at, vms in self._vm_lists if at <= horizon]
         return Ok(known[-1] if known else ())
 
     async def async_describe(self, model: str) -> Result[int, PlatformError | ObjectMissing]:
         """Return the size of a model's weights in bytes."""
-        refused = await self._async_enter()
+        refused = await self._async_begin_call()
         if refused is not None:
             return Err(refused)
         if model not in self.weights:
             return Err(ObjectMissing(f"no weights of {model}"))
         return Ok(self.weights[model])
 
-    async def _async_enter(self) -> PlatformError | None:
+    async def _async_begin_call(self) -> PlatformError | None:
         if self.faults.slow_ms:
             await self.clock.async_sleep(self.faults.slow_ms)
         else:
@@ -180,7 +180,7 @@
         self.rows[write.key] = Row(write.key, version, write.value)
         return version
 
-    def _take_lost_answer(self) -> bool:
+    def _consume_lost_answer(self) -> bool:
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
             return True
--- a/standins/service/__init__.py
+++ b/standins/service/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in for a plain service."""
+"""Stand-in for a plain service."""
--- a/standins/service/__main__.py
+++ b/standins/service/__main__.py
@@ -1,4 +1,4 @@
-"""The plain service's stand-in as a process over HTTP: it books grounds and counts each call."""
+"""HTTP server of the plain service stand-in, which counts the runs of each request."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -15,19 +15,19 @@
 
 @dataclass(slots=True)
 class ServiceState:
-    """What the service did, and its faults."""
+    """Runs and faults of the service."""
 
     runs: dict[str, int] = field(default_factory=dict)
-    """Request id to how often it ran."""
+    """Request id -> number of its runs."""
     received: list[bytes] = field(default_factory=list)
     lose_answers: int = 0
-    """So many next calls run but their answers are lost."""
+    """Number of next calls that run but whose answers are lost."""
     refuse: bool = False
     delay_ms: int = 0
 
 
 class ServiceHandler(RequestHandler):
-    """Any path: runs the call and says so."""
+    """Runs a call to any path and answers with its number of runs."""
 
     def initialize(self, state: ServiceState) -> None:
         """Keep the state."""
@@ -63,19 +63,19 @@
 
 
 class FaultHandler(RequestHandler):
-    """Faults, runs and what was received (tests and demo only)."""
+    """Faults, runs and requests received (tests and demo only)."""
 
     def initialize(self, state: ServiceState) -> None:
         """Keep the state."""
         self.state = state
 
     def get(self) -> None:
-        """Return runs by request id and everything received."""
+        """Return the runs by request id and all received requests."""
         received = b"\n".join(self.state.received).decode(errors="replace")
         self.finish({"runs": self.state.runs, "received": received})
 
     def put(self) -> None:
-        """Change faults."""
+        """Change the faults in the request."""
         request: dict[str, Any] = orjson.loads(self.request.body)
         for name, value in request.items():
             setattr(self.state, name, value)
--- a/tests/golden/session.py
+++ b/tests/golden/session.py
@@ -11,7 +11,7 @@
 import orjson
 
 from goldcreststair.const import HEADER_IDEMPOTENCY_KEY
-from standins.demo.fleet import Fleet, HttpAnswer, send_request
+from standins.demo.fleet import Fleet, HttpResponse, send_request
 
 GOLDEN: Final = Path(__file__).parent / "sessions"
 UPDATE: Final = "GOLDEN_UPDATE"
@@ -51,7 +51,7 @@
         body: Any = None,
         headers: Mapping[str, str] | None = None,
         daemon: int = 0,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Send a request and add it and its answer to the transcript."""
         shown = "" if body is None else " " + _show(body)
         if HEADER_IDEMPOTENCY_KEY in (headers or {}):
@@ -62,7 +62,7 @@
         self.add_answer(who, answer)
         return answer
 
-    def add_answer(self, who: str, answer: HttpAnswer) -> None:
+    def add_answer(self, who: str, answer: HttpResponse) -> None:
         """Add an answer to the transcript."""
         self._add(f"{who} < {answer.status}")
         for name in SHOWN_HEADERS:
@@ -72,7 +72,7 @@
         for line in text.splitlines():
             self._add(f"    {line}".rstrip())
 
-    def add_cut_answer(self, who: str, answer: HttpAnswer) -> None:
+    def add_cut_answer(self, who: str, answer: HttpResponse) -> None:
         """Add a streamed answer whose count of tokens may vary; they must be whole and in order."""
         text = KEEP_ALIVE.sub(b"", answer.body).decode()
         indices = [int(index) for index in TOKEN.findall(text)]
--- a/tests/golden/worlds.py
+++ b/tests/golden/worlds.py
@@ -11,7 +11,7 @@
 import orjson
 
 from standins.demo.__main__ import CUSTOMERS, wait_ready
-from standins.demo.fleet import OPERATOR_TOKEN, Fleet, FleetPlan, HttpAnswer, send_request
+from standins.demo.fleet import OPERATOR_TOKEN, Fleet, FleetPlan, HttpResponse, send_request
 
 DESIGNERS: Final = {"Authorization": "Bearer key-designers"}
 OPERATOR: Final = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
@@ -69,10 +69,10 @@
     response: http.client.HTTPResponse
     begun: bytes
 
-    def finish(self) -> HttpAnswer:
+    def finish(self) -> HttpResponse:
         """Read the rest and return the whole answer."""
         body = self.begun + self.response.read()
-        return HttpAnswer(self.response.status, dict(self.response.getheaders()), body)
+        return HttpResponse(self.response.status, dict(self.response.getheaders()), body)
 
 
 @contextlib.contextmanager
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -5,12 +5,12 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from standins.demo.__main__ import CUSTOMERS, wait_ready
-from standins.demo.fleet import Fleet, FleetPlan, HttpAnswer, send_request
+from standins.demo.fleet import Fleet, FleetPlan, HttpResponse, send_request
 
 HEADERS = {"Authorization": "Bearer key-designers"}
 
 
-def send_stream(address: str, max_tokens: int) -> HttpAnswer:
+def send_stream(address: str, max_tokens: int) -> HttpResponse:
     body = {"model": "small", "prompt": "x", "max_tokens": max_tokens, "stream": True}
     return send_request(address, "POST", "/v1/completions", body, HEADERS)
 
--- a/tests/test_orders_process.py
+++ b/tests/test_orders_process.py
@@ -7,14 +7,14 @@
 import orjson
 
 from standins.demo.__main__ import CUSTOMERS, run_cli
-from standins.demo.fleet import Fleet, FleetPlan, HttpAnswer, send_request
+from standins.demo.fleet import Fleet, FleetPlan, HttpResponse, send_request
 
 LIMIT_S = 40.0
 READY_LIMIT_S = 90.0
 STEADY = 20
 
 
-def ask(address: str, model: str) -> HttpAnswer:
+def ask(address: str, model: str) -> HttpResponse:
     body = {"model": model, "prompt": "hello", "max_tokens": 4}
     headers = {"Authorization": "Bearer key-designers"}
     return send_request(address, "POST", "/v1/completions", body, headers)
