--- a/standins/daemons.py
+++ b/standins/daemons.py
@@ -1,4 +1,4 @@
-"""Several daemons' control components in one process, on a fake network and platform."""
+"""Control components of several daemons in one process, on a fake network and platform."""
 
 import asyncio
 import random
@@ -40,28 +40,28 @@
     components: list[Component]
     address: str
     gate: VmGate | None = None
-    """All its effects, if the fleet has gates."""
+    """Gate of its effects, if the fleet is gated."""
 
     @property
     def members(self) -> Members:
-        """Return the fleet as this daemon sees it."""
+        """Return this daemon's view of the fleet."""
         return self.core.blackboard.read(MEMBERS)
 
     async def async_start(self, setups: Sequence[Setup]) -> None:
-        """Set all components up, then start them."""
+        """Set up all components, then start them."""
         self.components += [await setup(self.core) for setup in setups]
         for component in self.components:
             await component.async_start()
 
     async def async_close(self) -> None:
-        """Stop in an orderly way."""
+        """Stop the components in reverse order."""
         for component in reversed(self.components):
             await component.async_close()
 
 
 @dataclass(slots=True)
 class FakeDaemons:
-    """A fleet; all daemons share one platform and one network."""
+    """A fleet whose daemons share one platform and one network."""
 
     clock: Clock
     platform: FakePlatform
@@ -69,14 +69,14 @@
     setups: Sequence[Setup] = CONTROL
     running: list[FakeDaemon] = field(default_factory=list)
     upstreams: FakeUpstreams | None = None
-    """Shared by all daemons; without it each has none to call."""
+    """Upstreams shared by all daemons; without them a daemon has none to call."""
     partitions: int = DEFAULT_PARTITIONS
     gated: bool = False
-    """Whether daemons can be paused and lost; then tasks are followed by `follow_tasks`."""
+    """Whether daemons can be paused and lost; requires `track_tasks` on the loop."""
     _started: int = 0
 
     async def async_add(self, platform: Platform | None = None) -> FakeDaemon:
-        """Start one more daemon, on a platform of its own if one is given."""
+        """Start one more daemon, on `platform` or on the shared one."""
         self._started += 1
         number = self._started
         address = f"10.0.{number // 250}.{number % 250 + 1}"
@@ -127,16 +127,16 @@
     async def async_wait(
         self, condition: Callable[[], bool], limit_ms: int, step_ms: int = 10
     ) -> int:
-        """Wait until the condition holds; returns the time it took, or raises `TimeoutError`."""
-        began = self.clock.now()
+        """Wait until the condition holds; returns the duration in ms or raises `TimeoutError`."""
+        started_at = self.clock.now()
         while not condition():
-            if self.clock.now() - began > limit_ms:
+            if self.clock.now() - started_at > limit_ms:
                 raise TimeoutError(f"not within {limit_ms} ms")
             await self.clock.async_sleep(step_ms)
-        return self.clock.now() - began
+        return self.clock.now() - started_at
 
     def isolate(self, daemon: FakeDaemon) -> None:
-        """Cut a daemon from all others; the store is reached by other ways."""
+        """Cut the links between a daemon and all others; the store stays reachable."""
         for other in self.running:
             if other is not daemon:
                 self.network.cut(daemon.address, other.address)
--- a/standins/datagrams.py
+++ b/standins/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams in process, with delay, loss and cuts."""
+"""In-process datagrams with delay, loss and cut links."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -9,13 +9,13 @@
 
 @dataclass(slots=True)
 class FakeDatagramNetwork:
-    """All datagrams of a test; `join` gives each address its transport."""
+    """Datagram network of a test; `join` returns the transport of an address."""
 
     clock: Clock
     random: Random = field(default_factory=lambda: Random(1))
     delay_ms: int = 1
     loss: float = 0.0
-    """Share of datagrams that never arrive."""
+    """Share of datagrams that are lost."""
     sent: int = 0
     sent_bytes: int = 0
     _listeners: dict[tuple[str, int], DatagramHandler] = field(default_factory=dict)
@@ -26,19 +26,19 @@
         return FakeDatagrams(self, address)
 
     def cut(self, left: str, right: str) -> None:
-        """Lose everything between two addresses."""
+        """Drop all datagrams between two addresses."""
         self._cut.add(frozenset((left, right)))
 
-    def heal(self) -> None:
-        """Lose nothing more."""
+    def clear_cuts(self) -> None:
+        """Restore all cut links."""
         self._cut.clear()
 
     def listen(self, address: str, port: int, on_datagram: DatagramHandler) -> None:
-        """Receive at an address."""
+        """Register the receiver of an address."""
         self._listeners[(address, port)] = on_datagram
 
-    def unlisten(self, address: str) -> None:
-        """Receive nothing more at an address."""
+    def stop_listening(self, address: str) -> None:
+        """Remove the receivers of an address."""
         self._listeners = {at: on for at, on in self._listeners.items() if at[0] != address}
 
     def send(self, source: str, target: str, port: int, datagram: bytes) -> None:
@@ -66,7 +66,7 @@
     closed: bool = False
 
     async def async_listen(self, address: str, port: int, on_datagram: DatagramHandler) -> int:
-        """Receive from now on."""
+        """Register the receiver of datagrams."""
         self.network.listen(self.address, port, on_datagram)
         return port
 
@@ -76,6 +76,6 @@
             self.network.send(self.address, address, port, datagram)
 
     def close(self) -> None:
-        """Stop."""
+        """Stop sending and receiving."""
         self.closed = True
-        self.network.unlisten(self.address)
+        self.network.stop_listening(self.address)
--- a/standins/gate.py
+++ b/standins/gate.py
@@ -1,4 +1,4 @@
-"""One daemon's effects behind a gate, so that a test can pause it or lose it with all its tasks."""
+"""Gate for the effects of one daemon, so that a test can pause or kill it with all its tasks."""
 
 import asyncio
 import contextvars
@@ -23,15 +23,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Effect:
-    """One call that a daemon makes to the world outside it."""
+    """One call of a daemon to something outside it."""
 
     address: str
-    """The VM that makes it."""
+    """Address of the calling VM."""
     name: str
-    """Name of the call, as `async_write`; `frame` for a frame to another VM."""
+    """Name of the call, such as `async_write`; `frame` for a frame to another VM."""
     arguments: tuple[Any, ...] = ()
     done: bool = False
-    """False before the call takes effect, True when its answer is there."""
+    """False before the call takes effect, True once its answer has arrived."""
 
 
 OnEffect = Callable[[Effect], None]
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class VmGate:
-    """All effects of one daemon; closed while it is paused, and for good once it is lost."""
+    """Gate of one daemon's effects: closed during a pause, and for good once the daemon is lost."""
 
     address: str
     clock: Clock
@@ -50,68 +50,68 @@
     _context: contextvars.Context = field(default_factory=contextvars.copy_context)
 
     def __post_init__(self) -> None:
-        """Start open, with a context that marks all tasks as this daemon's."""
+        """Open the gate and create the context that marks tasks as this daemon's."""
         self._open.set()
         self._context.run(_CURRENT.set, self)
 
     @property
     def paused(self) -> bool:
-        """Return whether nothing of this daemon goes on."""
+        """Return whether the daemon is paused or lost."""
         return not self._open.is_set()
 
     def pause(self) -> None:
-        """Stop all effects and timers until `wake`."""
+        """Stop all effects and timers until `resume`."""
         self._open.clear()
 
-    def wake(self) -> None:
-        """Let held effects and timers go on, unless the daemon is lost."""
+    def resume(self) -> None:
+        """Resume effects and timers unless the daemon is lost."""
         if not self.lost:
             self._open.set()
 
     def lose(self) -> None:
-        """End the daemon without any clean-up: its tasks end, and nothing of them gets out."""
+        """Cancel the daemon's tasks without any clean-up; they cause no further effect."""
         self.lost = True
         self._open.clear()
         for task in tuple(self._tasks):
             task.cancel()
 
     def run(self, work: Callable[[], T]) -> T:
-        """Call a function as this daemon; tasks that it starts are the daemon's."""
+        """Call a function in this daemon's context, so that tasks it starts belong to the daemon."""
         return self._context.copy().run(work)
 
     def spawn(self, work: Coroutine[Any, Any, T]) -> "asyncio.Task[T]":
         """Run a coroutine as a task of this daemon."""
         return asyncio.get_running_loop().create_task(work, context=self._context.copy())
 
-    def adopt(self, task: asyncio.Task[Any]) -> None:
-        """Remember a task of this daemon."""
+    def add_task(self, task: asyncio.Task[Any]) -> None:
+        """Register a task of this daemon."""
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         if self.lost:
             task.get_loop().call_soon(task.cancel)
 
-    def note(self, effect: Effect) -> None:
-        """Tell the test of an effect."""
+    def report_effect(self, effect: Effect) -> None:
+        """Report an effect to the test."""
         if self.on_effect is not None and not self.lost:
             self.on_effect(effect)
 
-    async def async_pass(self) -> None:
-        """Return once the gate is open."""
+    async def async_wait_open(self) -> None:
+        """Wait until the gate is open."""
         await self._open.wait()
 
-    async def async_do(self, name: str, call: Callable[..., Any], *arguments: Any) -> Any:
+    async def async_call_gated(self, name: str, call: Callable[..., Any], *arguments: Any) -> Any:
         """Make one call through the gate."""
-        await self.async_pass()
-        self.note(Effect(self.address, name, arguments))
-        await self.async_pass()
+        await self.async_wait_open()
+        self.report_effect(Effect(self.address, name, arguments))
+        await self.async_wait_open()
         answer = await call(*arguments)
-        self.note(Effect(self.address, name, arguments, done=True))
-        await self.async_pass()
+        self.report_effect(Effect(self.address, name, arguments, done=True))
+        await self.async_wait_open()
         return answer
 
 
-def follow_tasks(loop: asyncio.AbstractEventLoop) -> None:
-    """Let each daemon know the tasks that it starts on this loop."""
+def track_tasks(loop: asyncio.AbstractEventLoop) -> None:
+    """Register each task on this loop with the daemon that starts it."""
 
     def make_task(
         running: asyncio.AbstractEventLoop, work: Any, **options: Any
@@ -120,14 +120,14 @@
         task: asyncio.Task[Any] = asyncio.Task(work, loop=running, **options)
         gate = context.get(_CURRENT) if context is not None else _CURRENT.get()
         if gate is not None:
-            gate.adopt(task)
+            gate.add_task(task)
         return task
 
     loop.set_task_factory(make_task)
 
 
 class _Gated:
-    """Passes every coroutine of a stand-in through the gate."""
+    """Calls every coroutine of a stand-in through the gate."""
 
     def __init__(self, gate: VmGate, target: Any) -> None:
         self._gate = gate
@@ -137,39 +137,39 @@
         call = getattr(self._target, name)
 
         async def async_call(*arguments: Any, **named: Any) -> Any:
-            return await self._gate.async_do(name, partial(call, **named), *arguments)
+            return await self._gate.async_call_gated(name, partial(call, **named), *arguments)
 
         return async_call
 
 
 class _GatedSink:
-    """Holds chunks back while the daemon is paused."""
+    """Delays chunks while the daemon is paused."""
 
     def __init__(self, gate: VmGate, sink: Any) -> None:
         self._gate = gate
         self._sink = sink
 
     async def async_accept(self, chunk: Any) -> None:
-        await self._gate.async_pass()
-        self._gate.note(Effect(self._gate.address, "chunk", (chunk,)))
-        await self._gate.async_pass()
+        await self._gate.async_wait_open()
+        self._gate.report_effect(Effect(self._gate.address, "chunk", (chunk,)))
+        await self._gate.async_wait_open()
         await self._sink.async_accept(chunk)
 
 
 class _GatedEngines(_Gated):
-    """Engines, whose chunks pass the gate too."""
+    """Engine client whose chunks pass the gate as well."""
 
     async def async_generate(self, upstream: Any, call: Any, sink: Any) -> Any:
         gated = _GatedSink(self._gate, sink)
         generate = self._target.async_generate
-        return await self._gate.async_do("async_generate", generate, upstream, call, gated)
+        return await self._gate.async_call_gated("async_generate", generate, upstream, call, gated)
 
 
 class GatedClock:
-    """A clock whose timers wait while the daemon is paused; the time itself goes on."""
+    """Clock whose timers are delayed during a pause; its time continues."""
 
     def __init__(self, gate: VmGate, clock: Clock) -> None:
-        """Stand between a daemon and its clock."""
+        """Wrap a daemon's clock."""
         self._gate = gate
         self._clock = clock
 
@@ -178,21 +178,21 @@
         return self._clock.now()
 
     def read_utc_s(self) -> int:
-        """Return the date."""
+        """Return the UTC time in seconds."""
         return self._clock.read_utc_s()
 
     def call_later(self, delay_ms: int, callback: Callable[[], None]) -> TimerHandle:
-        """Run `callback` once after `delay_ms`, or when the daemon wakes."""
+        """Run `callback` once after `delay_ms`, or after the pause if the daemon is paused then."""
         return _GatedTimer(self._gate, self._clock, delay_ms, callback)
 
     async def async_sleep(self, delay_ms: int) -> None:
-        """Wait `delay_ms`, or until the daemon wakes."""
+        """Wait `delay_ms`, and longer while the daemon is paused."""
         await self._clock.async_sleep(delay_ms)
-        await self._gate.async_pass()
+        await self._gate.async_wait_open()
 
 
 class _GatedTimer:
-    """A timer that comes again soon while the daemon is paused."""
+    """Timer that is retried every `RETRY_MS` while the daemon is paused."""
 
     RETRY_MS: Final = 50
 
@@ -219,53 +219,53 @@
 
 
 class _GatedChannel:
-    """One channel of a daemon; frames wait while it is paused."""
+    """Channel of a daemon whose frames are delayed while it is paused."""
 
     def __init__(self, gate: VmGate, channel: PeerChannel) -> None:
         self._gate = gate
         self._channel = channel
-        self._held: list[bytes] = []
+        self._delayed: list[bytes] = []
 
     def send(self, frame: bytes) -> bool:
-        self._gate.note(Effect(self._gate.address, "frame", (frame,)))
+        self._gate.report_effect(Effect(self._gate.address, "frame", (frame,)))
         if self._gate.lost:
             return True
         if self._gate.paused:
-            self._hold(frame)
+            self._delay(frame)
             return True
         return self._channel.send(frame)
 
     async def async_receive(self) -> bytes | None:
         frame = await self._channel.async_receive()
-        await self._gate.async_pass()
+        await self._gate.async_wait_open()
         return frame
 
     def close(self) -> None:
         if not self._gate.lost:
             self._channel.close()
 
-    def _hold(self, frame: bytes) -> None:
-        if not self._held:
+    def _delay(self, frame: bytes) -> None:
+        if not self._delayed:
             self._gate.spawn(self._async_flush())
-        self._held.append(frame)
+        self._delayed.append(frame)
 
     async def _async_flush(self) -> None:
-        await self._gate.async_pass()
-        held, self._held = self._held, []
-        for frame in held:
+        await self._gate.async_wait_open()
+        delayed, self._delayed = self._delayed, []
+        for frame in delayed:
             self._channel.send(frame)
 
 
 class GatedTransport:
-    """A daemon's transport; implements `PeerTransport`."""
+    """Gated transport of a daemon; implements `PeerTransport`."""
 
     def __init__(self, gate: VmGate, transport: PeerTransport) -> None:
-        """Stand between a daemon and the network."""
+        """Wrap a daemon's transport."""
         self._gate = gate
         self._transport = transport
 
     async def async_listen(self, address: str, port: int, on_accept: OnAccept) -> int:
-        """Accept channels, as tasks of this daemon."""
+        """Accept channels in this daemon's context."""
 
         def accept(channel: PeerChannel) -> None:
             if not self._gate.lost:
@@ -277,9 +277,9 @@
         self, address: str, port: int, timeout_ms: int
     ) -> Result[PeerChannel, TransportError]:
         """Open a channel."""
-        await self._gate.async_pass()
+        await self._gate.async_wait_open()
         opened = await self._transport.async_connect(address, port, timeout_ms)
-        await self._gate.async_pass()
+        await self._gate.async_wait_open()
         return Ok(_GatedChannel(self._gate, opened.ok_value)) if isinstance(opened, Ok) else opened
 
     async def async_close(self) -> None:
--- a/standins/gateways.py
+++ b/standins/gateways.py
@@ -51,12 +51,12 @@
 
 
 class PlainCatalogueReader:
-    """Reads catalogues written as JSON by `write_catalogue`."""
+    """Decodes the JSON catalogues of `GatewayFleet.write_catalogue`."""
 
     row = CATALOGUE_ROW
 
     def decode(self, document: bytes) -> Result[Catalogue, CatalogueUnreadable]:
-        """Return a version."""
+        """Decode one version of the catalogue."""
         try:
             raw = orjson.loads(document)
             routes = tuple(_read_route(route) for route in raw["routes"])
@@ -114,10 +114,10 @@
 
 
 class PlainEvacuationReader:
-    """Reads the rows that `GatewayFleet.evacuate` writes."""
+    """Decodes the rows that `GatewayFleet.evacuate` writes."""
 
     def is_evacuation(self, key: RowKey) -> bool:
-        """Return whether a row of the operators' table is about an evacuation."""
+        """Return whether a row of the operators' table marks an evacuation."""
         return key.key.startswith(EVACUATION_PREFIX)
 
     def decode(self, key: RowKey) -> Result[str, EvacuationUnreadable]:
@@ -127,12 +127,12 @@
 
 
 class PlainUpstreamReader:
-    """Reads engines' entries written as JSON by `GatewayFleet.register`."""
+    """Decodes the JSON entries of engines that `GatewayFleet.register` writes."""
 
     table = TABLE_ENGINES
 
     def decode(self, name: str, value: bytes) -> Result[UpstreamEntry, EntryUnreadable]:
-        """Return an entry."""
+        """Decode an entry."""
         try:
             return Ok(UpstreamEntry(name, **orjson.loads(value)))
         except (ValueError, TypeError) as error:
@@ -140,7 +140,7 @@
 
 
 class PlainSubmissionReader:
-    """Reads a submission of items, one id and number of tokens a line."""
+    """Decodes a submission with one item id and number of tokens per line."""
 
     def decode(self, body: bytes) -> Result[tuple[JobItem, ...], JobError]:
         """Return the items."""
@@ -155,7 +155,7 @@
 
 @dataclass(slots=True)
 class FakeResponder:
-    """A caller that records what it gets; implements `Responder`."""
+    """Caller that records its response; implements `Responder`."""
 
     clock: Clock
     head: RunHead | None = None
@@ -168,38 +168,38 @@
     event_times: list[Millis] = field(default_factory=list)
 
     def begin(self, head: RunHead) -> None:
-        """Take the head of a stream."""
+        """Record the head of a stream."""
         assert self.head is None, "a stream has one head"
         self.head = head
 
     def write(self, data: bytes) -> Awaitable[None] | None:
-        """Take a piece."""
+        """Record a part of the body."""
         self.event_times.append(self.clock.now())
         self.body += data
         return None
 
     def finish(self) -> None:
-        """Take the end."""
+        """Record the end."""
         self.whole = True
         self.ended_at = self.clock.now()
 
     def answer(self, head: RunHead, body: bytes) -> None:
-        """Take a whole answer."""
+        """Record a complete answer."""
         self.head, self.body, self.whole = head, body, True
         self.ended_at = self.clock.now()
 
     def accept(self) -> None:
-        """Take an acceptance."""
+        """Record an acceptance."""
         self.accepted = True
         self.ended_at = self.clock.now()
 
     def refuse(self, refusal: Refusal) -> None:
-        """Take a refusal."""
+        """Record a refusal."""
         self.refusal = refusal
         self.ended_at = self.clock.now()
 
     def abort(self) -> None:
-        """Take a closed connection."""
+        """Record a closed connection."""
         self.aborted = True
         self.ended_at = self.clock.now()
 
@@ -219,7 +219,7 @@
 
     @property
     def address(self) -> str:
-        """Its IP number."""
+        """Its IP address."""
         return self.core.settings.address
 
     def read(self, section: Any) -> Any:
@@ -237,7 +237,7 @@
     datagrams: FakeDatagramNetwork
     engines: RunEngines
     regions: Mapping[str, str] = field(default_factory=dict)
-    """Region of each data centre; all stand in one if it is empty."""
+    """Region of each data centre; if empty, all are in one region."""
     members: list[FleetMember] = field(default_factory=list)
     _started: int = 0
     _requests: int = 0
@@ -250,7 +250,7 @@
         keys: Mapping[str, str] | None = None,
         cold: Mapping[str, float] | None = None,
     ) -> None:
-        """Write a version as operators do."""
+        """Write a version of the catalogue as operators do."""
         keys = {"key-club": "club"} if keys is None else keys
         document = {
             "version": version,
@@ -262,11 +262,11 @@
         self.store.put(CATALOGUE_ROW, orjson.dumps(document))
 
     def evacuate(self, data_centre: str) -> None:
-        """Ask that the engines of a data centre get nothing more, as operators do."""
+        """Evacuate a data centre as operators do, so that its engines get no new work."""
         self.store.put(RowKey(CATALOGUE_ROW.table, "", EVACUATION_PREFIX + data_centre), b"{}")
 
-    def take_back(self, data_centre: str) -> None:
-        """End an evacuation."""
+    def end_evacuation(self, data_centre: str) -> None:
+        """End the evacuation of a data centre."""
         self.store.drop(RowKey(CATALOGUE_ROW.table, "", EVACUATION_PREFIX + data_centre))
 
     def register(self, engine: RunEngine, *, draining: bool = False) -> None:
@@ -287,7 +287,7 @@
         self.store.drop(RowKey(TABLE_ENGINES, "", engine.name))
 
     def restart_engines(self) -> None:
-        """Start all engines that are down; they register as new ones."""
+        """Restart all engines that are down and register them as new ones."""
         for engine in self.engines.by_address.values():
             if not engine.up:
                 engine.up, engine.restarts = True, engine.restarts + 1
@@ -306,7 +306,7 @@
         return engines
 
     async def async_add(self, address: str = "") -> FleetMember:
-        """Start one more daemon, at an address of its own or at a given one."""
+        """Start one more daemon at `address`, or at a new address."""
         self._started += 1
         number = self._started
         address = address or f"10.0.0.{number}"
@@ -352,21 +352,21 @@
         return [await self.async_add() for _ in range(count)]
 
     async def async_kill(self, member: FleetMember) -> None:
-        """End a daemon without a word: nothing of it reaches anyone any more."""
+        """End a daemon without notice; nothing that it sends arrives any more."""
         self.members.remove(member)
         member.view.cut = True
         member.datagrams.closed = True
-        self.datagrams.unlisten(member.address)
+        self.datagrams.stop_listening(member.address)
         await member.gateway.async_close()
 
     async def async_wait(self, condition: Callable[[], bool], limit_ms: int) -> int:
-        """Wait until the condition holds; returns the time it took, or raises `TimeoutError`."""
-        began = self.clock.now()
+        """Wait until the condition holds; returns the duration in ms or raises `TimeoutError`."""
+        started_at = self.clock.now()
         while not condition():
-            if self.clock.now() - began > limit_ms:
+            if self.clock.now() - started_at > limit_ms:
                 raise TimeoutError(f"not within {limit_ms} ms")
             await self.clock.async_sleep(5)
-        return self.clock.now() - began
+        return self.clock.now() - started_at
 
     async def async_close(self) -> None:
         """Stop all daemons."""
@@ -393,7 +393,7 @@
 
 
 def make_fleet(clock: Clock) -> GatewayFleet:
-    """Return a fleet without daemons or engines, and with a catalogue."""
+    """Return a fleet with a catalogue but without daemons and engines."""
     fleet = GatewayFleet(
         clock,
         FakeRowStore(clock),
--- a/standins/measure/overload_play.py
+++ b/standins/measure/overload_play.py
@@ -163,7 +163,7 @@
         asked = self.clock.now()
         self.figures.items += len(job.events)
         names = [f"{job.name}-{number}" for number in range(len(job.events))]
-        self.fleet.engines.events_of.update(zip(names, job.events, strict=True))
+        self.fleet.engines.events_by_request.update(zip(names, job.events, strict=True))
         lines = "\n".join(f"{name} {ITEM_TOKENS}" for name in names).encode()
         for place in job.entries:
             answer = await self._async_send(
--- a/standins/network.py
+++ b/standins/network.py
@@ -1,4 +1,4 @@
-"""A network in process: channels with delay that can be cut, or go silent while open."""
+"""In-process network of channels with delay that can be cut or silenced."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,22 +12,22 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """What one address sent."""
+    """Frames and bytes that one address has sent."""
 
     frames: int = 0
     bytes: int = 0
 
 
 class FakeNetwork:
-    """All channels of a test; `join` gives each address its transport."""
+    """Network of a test; `join` returns the transport of an address."""
 
     def __init__(self, clock: Clock, delay_ms: int = 1) -> None:
-        """Start without faults."""
+        """Create a network without faults."""
         self.clock = clock
         self.delay_ms = delay_ms
         self.traffic: dict[str, Traffic] = {}
         self.on_frame: Callable[[str, str, bytes], bytes | None] | None = None
-        """Sees (source, target, frame) and may change or drop it."""
+        """Gets (source, target, frame); returns the frame to deliver, or None to drop it."""
         self._listeners: dict[tuple[str, int], OnAccept] = {}
         self._channels: list[FakeChannel] = []
         self._cut: set[frozenset[str]] = set()
@@ -38,38 +38,38 @@
         return FakeTransport(self, address)
 
     def cut(self, left: str, right: str) -> None:
-        """Break all channels between two addresses; none opens until `heal`."""
+        """Close all channels between two addresses; none opens until `clear_cuts`."""
         self._cut.add(frozenset((left, right)))
         for channel in self._between(left, right):
             channel.close()
 
-    def heal(self) -> None:
-        """Let channels open again."""
+    def clear_cuts(self) -> None:
+        """Restore all cut links."""
         self._cut.clear()
 
     def silence(self, left: str, right: str) -> None:
-        """Let open channels between two addresses carry nothing more; new ones work."""
+        """Drop all further frames on open channels between two addresses; new channels work."""
         for channel in self._between(left, right):
             channel.silent = True
 
     def is_cut(self, left: str, right: str) -> bool:
-        """Return whether no channel may open."""
+        """Return whether the link between two addresses is cut."""
         return frozenset((left, right)) in self._cut
 
     def listen(self, address: str, port: int, on_accept: OnAccept) -> int:
-        """Bind a port; 0 is any free one."""
+        """Bind a port, or a free one for 0; returns it."""
         if not port:
             self._next_port += 1
             port = self._next_port
         self._listeners[(address, port)] = on_accept
         return port
 
-    def unlisten(self, address: str) -> None:
-        """Free the ports of an address."""
+    def stop_listening(self, address: str) -> None:
+        """Release the ports of an address."""
         self._listeners = {at: on for at, on in self._listeners.items() if at[0] != address}
 
     def open(self, source: str, target: str, port: int) -> "FakeChannel | None":
-        """Open a channel, or return None if nothing listens or the path is cut."""
+        """Open a channel; returns None if nothing listens or the link is cut."""
         on_accept = self._listeners.get((target, port))
         if on_accept is None or self.is_cut(source, target):
             return None
@@ -88,7 +88,7 @@
     """One end of a channel; implements `PeerChannel`."""
 
     def __init__(self, network: FakeNetwork, source: str, target: str) -> None:
-        """Stand at `source`, towards `target`."""
+        """Create the end at `source` of a channel to `target`."""
         self.source = source
         self.target = target
         self.closed = False
@@ -105,9 +105,9 @@
         traffic = network.traffic.setdefault(self.source, Traffic())
         traffic.frames += 1
         traffic.bytes += len(frame) + 4
-        seen = network.on_frame(self.source, self.target, frame) if network.on_frame else frame
-        if not self.silent and seen is not None:
-            network.clock.call_later(network.delay_ms, lambda: self._deliver(seen))
+        passed = network.on_frame(self.source, self.target, frame) if network.on_frame else frame
+        if not self.silent and passed is not None:
+            network.clock.call_later(network.delay_ms, lambda: self._deliver(passed))
         return True
 
     async def async_receive(self) -> bytes | None:
@@ -117,7 +117,7 @@
         return await self._frames.get()
 
     def close(self) -> None:
-        """Close both ends, unless the path is silent and the other cannot know."""
+        """Close this end, and the other one unless the channel is silent."""
         if self.closed:
             return
         self.closed = True
@@ -134,7 +134,7 @@
     """The transport of one address; implements `PeerTransport`."""
 
     def __init__(self, network: FakeNetwork, address: str) -> None:
-        """Stand at `address`."""
+        """Create the transport of `address`."""
         self._network = network
         self._address = address
 
@@ -155,4 +155,4 @@
 
     async def async_close(self) -> None:
         """Stop accepting."""
-        self._network.unlisten(self._address)
+        self._network.stop_listening(self._address)
--- a/standins/rows.py
+++ b/standins/rows.py
@@ -1,4 +1,4 @@
-"""The platform's store of rows in memory, with faults to switch on, as several VMs see it."""
+"""In-memory row store with faults and one view per VM."""
 
 import asyncio
 from collections import Counter, deque
@@ -35,24 +35,24 @@
     """Faults in force; tests change them at any time."""
 
     down: bool = False
-    """Refuse every call without effect."""
+    """Refuse every call; none takes effect."""
     slow_ms: int = 0
-    """Wait this long before each call takes effect."""
+    """Delay before each call takes effect, ms."""
     slow_objects_ms: int = 0
-    """Wait this long before an object is read."""
+    """Delay before an object is read, ms."""
     lose_answers: int = 0
-    """So many next transactions are made and their answers lost."""
+    """Number of next transactions that take effect but whose answers are lost."""
     late_ms: int = 0
-    """A transaction whose answer is lost is made so much later."""
+    """Delay of the effect of a transaction whose answer is lost, ms."""
     transaction_ms: int = 0
-    """How long each part takes for a transaction, one after the other."""
+    """Duration of a transaction in its part, which runs one at a time, ms."""
     silent_feeds: bool = False
-    """Feeds bring nothing and end with an error after their wait."""
+    """Feeds return no change and end with an error after their wait."""
 
 
 @dataclass(slots=True)
 class FakeRowStore:
-    """All rows and objects."""
+    """The rows and objects of a test."""
 
     clock: Clock
     random: Random = field(default_factory=lambda: Random(1))
@@ -62,16 +62,16 @@
     version: int = 0
     calls: Counter[str] = field(default_factory=Counter)
     reads: Counter[str] = field(default_factory=Counter)
-    """Reads by table."""
+    """Number of reads by table."""
     oldest: int = 0
-    """Versions up to this one have left the history."""
+    """Versions up to this one are no longer in the history."""
     busy_until: dict[str, int] = field(default_factory=dict)
-    """By part, when its last transaction ends."""
+    """Part -> time at which its last transaction ends."""
     _history: deque[StoredRow] = field(default_factory=lambda: deque(maxlen=HISTORY))
     _changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def view(self) -> "StoreView":
-        """Return the store as one more VM sees it."""
+        """Return the view of one more VM."""
         return StoreView(self)
 
     def put(self, key: RowKey, value: bytes) -> None:
@@ -82,14 +82,14 @@
         """Remove a row as upstreams do."""
         self.apply(Transaction(deletes=(key,)))
 
-    def forget_history(self) -> None:
-        """Drop the history: feeds cannot go on."""
+    def drop_history(self) -> None:
+        """Drop the history, so that feeds cannot continue."""
         self.oldest = self.version
         self._history.clear()
-        self._wake()
+        self._notify_change()
 
     def apply(self, transaction: Transaction) -> Result[Committed, RowsConflict]:
-        """Make a transaction now."""
+        """Apply a transaction at once."""
         for key, version in transaction.conditions:
             if (self.rows[key].version if key in self.rows else 0) != version:
                 keys = [key for key, _ in transaction.conditions]
@@ -102,15 +102,15 @@
         for key in transaction.deletes:
             if self.rows.pop(key, None) is not None:
                 self._history.append(StoredRow(key, b"", self.version, deleted=True))
-        self._wake()
+        self._notify_change()
         return Ok(Committed(self.version, self.clock.now()))
 
     def find_changes(self, table: str, after: int) -> tuple[StoredRow, ...]:
-        """Return what changed in a table after a version."""
+        """Return the changes of a table after a version."""
         return tuple(r for r in self._history if r.key.table == table and r.version > after)
 
     async def async_wait(self, timeout_ms: int) -> None:
-        """Return at the next change, or after the time."""
+        """Wait for the next change, at most `timeout_ms`."""
         event = self._changed
         try:
             async with asyncio.timeout(timeout_ms / 1000):
@@ -118,27 +118,27 @@
         except TimeoutError:
             return
 
-    def _wake(self) -> None:
+    def _notify_change(self) -> None:
         event, self._changed = self._changed, asyncio.Event()
         event.set()
 
 
 @dataclass(slots=True)
 class StoreView:
-    """The store as one VM sees it; implements `RowStore`."""
+    """View of the store from one VM; implements `RowStore`."""
 
     store: FakeRowStore
     cut: bool = False
-    """Whether this VM is turned away while others are served."""
+    """Whether the store refuses this VM's calls."""
     calls: Counter[str] = field(default_factory=Counter)
 
     async def async_commit(
         self, transaction: Transaction
     ) -> Result[Committed, PlatformError | RowsConflict]:
-        """Make all changes or none."""
+        """Apply all changes or none."""
         parts = {key.part for key, _ in transaction.puts} | {k.part for k in transaction.deletes}
         assert len(parts) <= 1, "rows of one transaction share their part"
-        refused = await self._async_enter("commit")
+        refused = await self._async_begin_call("commit")
         if refused is not None:
             return Err(refused)
         faults = self.store.faults
@@ -161,31 +161,31 @@
             self.store.busy_until[part] = ends_at
             await self.store.clock.async_sleep(ends_at - now)
 
-    async def async_read(self, wanted: RowRange) -> Result[RowPage, PlatformError]:
+    async def async_read(self, row_range: RowRange) -> Result[RowPage, PlatformError]:
         """Return rows of one part."""
-        self.store.reads[wanted.table] += 1
-        refused = await self._async_enter("read")
+        self.store.reads[row_range.table] += 1
+        refused = await self._async_begin_call("read")
         if refused is not None:
             return Err(refused)
         found = sorted(
             (
                 row
                 for key, row in self.store.rows.items()
-                if (key.table, key.part) == (wanted.table, wanted.part)
-                and key.key >= wanted.first
-                and (not wanted.end or key.key < wanted.end)
+                if (key.table, key.part) == (row_range.table, row_range.part)
+                and key.key >= row_range.first
+                and (not row_range.end or key.key < row_range.end)
             ),
             key=lambda row: row.key.key,
         )
-        page = tuple(found[: wanted.limit])
+        page = tuple(found[: row_range.limit])
         now = self.store.clock.now()
         return Ok(RowPage(page, len(found) > len(page), self.store.version, now))
 
     async def async_list_parts(
         self, table: str, after: str = ""
     ) -> Result[tuple[Sequence[str], bool], PlatformError]:
-        """Return the parts of a table after one."""
-        refused = await self._async_enter("parts")
+        """Return the parts of a table after a given one."""
+        refused = await self._async_begin_call("parts")
         if refused is not None:
             return Err(refused)
         parts = sorted({k.part for k in self.store.rows if k.table == table and k.part > after})
@@ -194,8 +194,8 @@
     async def async_follow(
         self, table: str, after: int, wait_ms: int
     ) -> Result[RowPage, PlatformError | HistoryLost]:
-        """Return what changed after a version."""
-        refused = await self._async_enter("follow")
+        """Return the changes after a version, waiting up to `wait_ms` for the first."""
+        refused = await self._async_begin_call("follow")
         if refused is not None:
             return Err(refused)
         store = self.store
@@ -218,7 +218,7 @@
         self, name: str, content: bytes
     ) -> Result[None, PlatformError | ObjectExists]:
         """Store an object that does not exist yet."""
-        refused = await self._async_enter("put")
+        refused = await self._async_begin_call("put")
         if refused is not None:
             return Err(refused)
         if name in self.store.objects:
@@ -228,7 +228,7 @@
 
     async def async_get_object(self, name: str) -> Result[bytes, PlatformError]:
         """Return an object's content."""
-        refused = await self._async_enter("get")
+        refused = await self._async_begin_call("get")
         if refused is not None:
             return Err(refused)
         await self.store.clock.async_sleep(self.store.faults.slow_objects_ms)
@@ -238,13 +238,13 @@
 
     async def async_drop_object(self, name: str) -> Result[None, PlatformError]:
         """Remove an object."""
-        refused = await self._async_enter("drop")
+        refused = await self._async_begin_call("drop")
         if refused is not None:
             return Err(refused)
         self.store.objects.pop(name, None)
         return Ok(None)
 
-    async def _async_enter(self, call: str) -> PlatformError | None:
+    async def _async_begin_call(self, call: str) -> PlatformError | None:
         self.calls[call] += 1
         self.store.calls[call] += 1
         await self.store.clock.async_sleep(self.store.faults.slow_ms or 4)
--- a/standins/run_engines.py
+++ b/standins/run_engines.py
@@ -1,4 +1,4 @@
-"""Engines behind the `Runner` protocol: slots, a first-come queue, events, and faults."""
+"""Engines behind the `Runner` protocol: slots, a first-come-first-served queue, events, faults."""
 
 import asyncio
 from collections import Counter
@@ -13,13 +13,13 @@
 from goldcreststair.upstreams.errors import UpstreamError, UpstreamFailure
 from goldcreststair.upstreams.runner import RunEnd, RunSink
 
-SILENCE_LOOK_MS: Final = 100
-"""How often a silent engine looks whether it may go on."""
+SILENCE_POLL_MS: Final = 100
+"""Interval at which a silent engine checks whether it may continue."""
 
 
 @dataclass(slots=True)
 class RunEngine:
-    """One engine."""
+    """State and faults of one engine."""
 
     name: str
     address: str
@@ -32,23 +32,23 @@
     up: bool = True
     restarts: int = 0
     silent: bool = False
-    """Whether it accepts connections and sends nothing more."""
-    dark: bool = False
-    """Whether it sends nothing more and accepts no connection, as behind a cut."""
+    """Whether it accepts connections but sends nothing."""
+    unreachable: bool = False
+    """Whether it sends nothing and accepts no connection, as on a cut link."""
     refuse: bool = False
-    """Whether it says that it has no room."""
+    """Whether it refuses runs as full."""
     reset: bool = False
-    """Whether it resets each request that reaches it, and runs none."""
+    """Whether it resets the connection of each request without running it."""
     cold_until: Millis = Millis(0)
-    """Until when it bears few requests; it says so in its answers."""
+    """Until when it tolerates few requests, as its answers report."""
     cold_arrivals: list[Millis] = field(default_factory=list)
-    """When requests arrived while it was cold."""
+    """Arrival times of requests while it was cold."""
     fail_status: int = 0
-    """Answers every run with this status, if any."""
+    """Status of the answer to every run; 0 for none."""
     running: int = 0
     waiting: int = 0
     ran: list[RunCall] = field(default_factory=list)
-    """Every run that began, in order."""
+    """All runs in the order of their starts."""
     freed: asyncio.Event = field(default_factory=asyncio.Event)
 
 
@@ -59,24 +59,24 @@
     clock: Clock
     by_address: dict[str, RunEngine] = field(default_factory=dict)
     events: int = 20
-    """Events of each answer, unless `events_of` says otherwise."""
-    events_of: dict[str, int] = field(default_factory=dict)
-    """By request id."""
+    """Events of each answer that `events_by_request` does not name."""
+    events_by_request: dict[str, int] = field(default_factory=dict)
+    """Request id -> number of events of its answer."""
     statuses: dict[str, int] = field(default_factory=dict)
-    """Status of the answer to a request id, where it is no success."""
+    """Request id -> status of its answer; 200 for others."""
     poison: bytes = b""
-    """A body that crashes each engine that runs it."""
+    """Body that crashes each engine that runs it."""
     crashes: int = 0
     deadlines: list[int] = field(default_factory=list)
-    """Time left of each request that reached any engine, run or not, ms."""
-    at_work: Counter[str] = field(default_factory=Counter)
-    """Runs under way, by request id."""
+    """Remaining time of each request that reached an engine, run or not, ms."""
+    active_runs: Counter[str] = field(default_factory=Counter)
+    """Request id -> number of its current runs."""
     made: Counter[str] = field(default_factory=Counter)
-    """Events made for each request whose length stands in `events_of`."""
+    """Number of events sent for each request in `events_by_request`."""
 
     @property
     def pool(self) -> "RunEngines":
-        """The connections kept: none needs keeping here."""
+        """Return this object as the connection pool; it keeps no connection."""
         return self
 
     def add(self, engine: RunEngine) -> RunEngine:
@@ -85,11 +85,11 @@
         return engine
 
     def count_open(self, address: str) -> int:
-        """Return no connections."""
+        """Return 0, as no connection is kept."""
         return 0
 
     def has_idle(self, address: str) -> bool:
-        """Return that none is kept."""
+        """Return False, as no connection is kept."""
         return False
 
     def close_idle(self, address: str) -> None:
@@ -99,10 +99,10 @@
         """Do nothing."""
 
     async def async_warm(self, address: str, connect_timeout_ms: int) -> bool:
-        """Return whether a connection opens."""
+        """Return whether a connection can be opened."""
         await self.clock.async_sleep(1)
         engine = self.by_address.get(address)
-        return engine is not None and engine.up and not engine.dark
+        return engine is not None and engine.up and not engine.unreachable
 
     async def async_run(
         self, address: str, call: RunCall, sink: RunSink
@@ -132,12 +132,12 @@
         await self._async_enter(engine)
         engine.running += 1
         engine.ran.append(call)
-        self.at_work[call.request_id] += 1
+        self.active_runs[call.request_id] += 1
         try:
             return await self._async_answer(engine, call, sink)
         finally:
             engine.running -= 1
-            self.at_work[call.request_id] -= 1
+            self.active_runs[call.request_id] -= 1
             engine.freed.set()
 
     async def _async_enter(self, engine: RunEngine) -> None:
@@ -169,12 +169,12 @@
         if not sink.wants_chunks:
             return Ok(RunEnd(head, b"whole"))
         for number in range(
-            call.resume_after + 1, self.events_of.get(call.request_id, self.events) + 1
+            call.resume_after + 1, self.events_by_request.get(call.request_id, self.events) + 1
         ):
             lost = await self._async_check(engine)
             if lost is not None:
                 return Err(lost)
-            if call.request_id in self.events_of:
+            if call.request_id in self.events_by_request:
                 self.made[call.request_id] += 1
             taken: Awaitable[None] | None = sink.on_data(make_event(call.request_id, number))
             if taken is not None:
@@ -183,15 +183,15 @@
         return Ok(RunEnd(head, b""))
 
     async def _async_check(self, engine: RunEngine) -> UpstreamError | None:
-        while engine.silent or engine.dark:
-            await self.clock.async_sleep(SILENCE_LOOK_MS)
+        while engine.silent or engine.unreachable:
+            await self.clock.async_sleep(SILENCE_POLL_MS)
         if not engine.up:
             return UpstreamError("connection reset", UpstreamFailure.LOST)
         return None
 
 
 def make_event(request_id: str, number: int) -> bytes:
-    """Return event `number` of a request's answer; any engine agrees."""
+    """Return event `number` of a request's answer, the same for every engine."""
     return f"id: {number}\ndata: {request_id}.{number}\n\n".encode()
 
 
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""How every stand-in process serves."""
+"""HTTP serving shared by the stand-in processes."""
 
 import asyncio
 import signal
--- a/standins/virtual_time.py
+++ b/standins/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose time jumps from timer to timer, so that tests need no wall clock."""
+"""Event loop whose time jumps from timer to timer, so that tests take no real time."""
 
 import asyncio
 import selectors
@@ -8,8 +8,8 @@
 T = TypeVar("T")
 
 
-class _JumpingSelector(selectors.SelectSelector):
-    """Never waits: a wait becomes a jump of the loop's time."""
+class _VirtualTimeSelector(selectors.SelectSelector):
+    """Advances the loop's time in place of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -26,30 +26,30 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """A loop on virtual time; only for code that uses no socket."""
+    """Event loop on virtual time, for code that uses no socket."""
 
     def __init__(self) -> None:
-        """Start at an arbitrary time."""
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        """Create a loop at an arbitrary time."""
+        self._selector_clock = _VirtualTimeSelector()
+        super().__init__(self._selector_clock)
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self._jumping.now
+        return self._selector_clock.now
 
-    def stand_still(self, duration_s: float) -> None:
-        """Let time pass in which nothing runs, as in a process that gets no processor."""
-        self._jumping.now += duration_s
+    def pause(self, duration_s: float) -> None:
+        """Advance the time without running anything, as in a process that gets no CPU time."""
+        self._selector_clock.now += duration_s
 
 
 def run_virtual(coroutine: Coroutine[Any, Any, T], limit_s: float = 86_400.0) -> T:
-    """Run a coroutine on virtual time; fails if it takes more than `limit_s` of it."""
+    """Run a coroutine on virtual time; raises `TimeoutError` after `limit_s` of it."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(asyncio.wait_for(coroutine, limit_s))
 
 
 class ManualClock:
-    """A clock for controllers that only ask the time."""
+    """Clock for controllers that only read the time."""
 
     def __init__(self, now: int = 1_000_000) -> None:
         """Start at `now` milliseconds."""
@@ -60,11 +60,11 @@
         return self._now
 
     def advance(self, delay_ms: int) -> None:
-        """Move time on."""
+        """Advance the time."""
         self._now += delay_ms
 
     def read_utc_s(self) -> int:
-        """Return a date that moves with the time."""
+        """Return a UTC time in seconds that advances with the clock."""
         return 1_700_000_000 + self._now // 1000
 
     def call_later(self, delay_ms: int, callback: Any) -> Any:
--- a/tests/components/configuration/test_spread.py
+++ b/tests/components/configuration/test_spread.py
@@ -221,7 +221,7 @@
             take_copy(copy)
 
         follower._take_copy = spy  # type: ignore[method-assign]
-        fleet.network.heal()
+        fleet.network.clear_cuts()
         await fleet.async_wait(lambda: read_version(away) == patches + 1, 11_000)
         assert sum(copy.row is not None for copy in seen) == whole
         expected = daemons[0].core.blackboard.read(CONFIGURATION)
--- a/tests/components/evacuation/test_fleet.py
+++ b/tests/components/evacuation/test_fleet.py
@@ -73,13 +73,13 @@
         if how == "paused":
             loop = asyncio.get_running_loop()
             assert isinstance(loop, VirtualTimeLoop)
-            loop.stand_still(5.0)
+            loop.pause(5.0)
         await fleet.clock.async_sleep(KNOWN_MS if how != "silent feeds" else 4_500)
         if how == "started while refused":
             member = await fleet.async_add()
             await fleet.clock.async_sleep(KNOWN_MS)
             member.view.cut = True
-            fleet.take_back(DATA_CENTRE)
+            fleet.end_evacuation(DATA_CENTRE)
             await fleet.clock.async_sleep(KNOWN_MS)
             assert not member.read(EVACUATIONS).data_centres
             fleet.evacuate(DATA_CENTRE)
@@ -134,7 +134,7 @@
         engines = await async_start(fleet)
         fleet.evacuate(DATA_CENTRE)
         await fleet.clock.async_sleep(5_000)
-        fleet.take_back(DATA_CENTRE)
+        fleet.end_evacuation(DATA_CENTRE)
         await fleet.clock.async_sleep(5_000)
         await async_load(fleet, fleet.members)
         assert count_ran(engines) > 0
--- a/tests/components/forwarding/test_admission.py
+++ b/tests/components/forwarding/test_admission.py
@@ -91,7 +91,7 @@
         answer = await async_send(fleet, first, "/stream/a")
         assert answer.refusal is not None and answer.refusal.code is RefusalCode.NOT_READY
         assert (await async_send(fleet, second, "/stream/a")).whole
-        fleet.datagrams.heal()
+        fleet.datagrams.clear_cuts()
         first.view.cut = False
         await fleet.clock.async_sleep(1_000)
         assert (await async_send(fleet, first, "/stream/a")).whole
--- a/tests/components/forwarding/test_large_fleet.py
+++ b/tests/components/forwarding/test_large_fleet.py
@@ -60,7 +60,7 @@
         sending = asyncio.create_task(async_send(fleet, members[0], "/stream/a"))
         await fleet.clock.async_sleep(after_ms)
         gone = next(engine for engine in engines if engine.running)
-        gone.dark = True
+        gone.unreachable = True
         answer = await sending
         assert answer.whole
         times = [answer.event_times[0], *answer.event_times]
@@ -80,7 +80,7 @@
 
     async def scenario(fleet: GatewayFleet) -> None:
         (engine,) = fleet.add_engines(1)
-        fleet.engines.events_of = {f"j{n}-0": 400 for n in range(8)}
+        fleet.engines.events_by_request = {f"j{n}-0": 400 for n in range(8)}
         members = await async_start(fleet)
         for number in range(8):
             await async_submit(fleet, members[number], f"j{number}", 1)
--- a/tests/components/forwarding/test_streams.py
+++ b/tests/components/forwarding/test_streams.py
@@ -203,7 +203,7 @@
         sending.cancel()
         await asyncio.gather(sending, return_exceptions=True)
         await fleet.clock.async_sleep(20)
-        assert fleet.engines.at_work["r"] == 0
+        assert fleet.engines.active_runs["r"] == 0
         assert sum(engine.running for engine in engines) == 0
 
     run_fleet(scenario)
--- a/tests/components/jobs/test_estimate.py
+++ b/tests/components/jobs/test_estimate.py
@@ -70,7 +70,7 @@
 
     async def scenario(fleet: GatewayFleet) -> None:
         fleet.add_engines(1)
-        fleet.engines.events_of = {f"digest-{n}": 150 for n in range(4)}
+        fleet.engines.events_by_request = {f"digest-{n}": 150 for n in range(4)}
         first, second = await fleet.async_add_many(2)
         await fleet.clock.async_sleep(1_000)
         assert (await async_submit(fleet, first, "digest", 4, tokens=1_500)).accepted
--- a/tests/components/jobs/test_execution.py
+++ b/tests/components/jobs/test_execution.py
@@ -114,7 +114,7 @@
         (engine,) = fleet.add_engines(1)
         (member,) = await fleet.async_add_many(1)
         await fleet.clock.async_sleep(1_000)
-        fleet.engines.events_of = {f"digest-{n}": 150 for n in range(engine.slots)}
+        fleet.engines.events_by_request = {f"digest-{n}": 150 for n in range(engine.slots)}
         assert (await async_submit(fleet, member, "digest", engine.slots)).accepted
         await fleet.clock.async_sleep(1_000)
         began = [call.request_id for call in engine.ran]
@@ -122,10 +122,10 @@
         for _ in range(4):
             placement.begin(engine.name)
         await fleet.clock.async_sleep(100)
-        at_work = [name for name, count in fleet.engines.at_work.items() if count]
-        yielded = len(began) - len(at_work)
+        active_runs = [name for name, count in fleet.engines.active_runs.items() if count]
+        yielded = len(began) - len(active_runs)
         assert yielded >= 3
-        assert sorted(at_work) == sorted(began[yielded:])
+        assert sorted(active_runs) == sorted(began[yielded:])
 
     run_fleet(scenario)
 
@@ -148,7 +148,7 @@
         for engine in fleet.add_engines(other_engines):
             engine.service, engine.slots = "other", 2
             fleet.register(engine)
-        fleet.engines.events_of = {f"other/job-{n}": 1_000 for n in range(5)}
+        fleet.engines.events_by_request = {f"other/job-{n}": 1_000 for n in range(5)}
         (member,) = await fleet.async_add_many(1)
         await fleet.clock.async_sleep(1_000)
         member.core.get(PLACEMENT).controller.digest_sequence = sequence
@@ -171,7 +171,7 @@
 
     async def scenario(fleet: GatewayFleet) -> None:
         engines = fleet.add_engines(2)
-        fleet.engines.events_of = {f"digest-{n}": 150 for n in range(14)}
+        fleet.engines.events_by_request = {f"digest-{n}": 150 for n in range(14)}
         first, second = await fleet.async_add_many(2)
         await fleet.clock.async_sleep(1_000)
         assert (await async_submit(fleet, first, "digest", 14)).accepted
--- a/tests/components/jobs/test_ownership.py
+++ b/tests/components/jobs/test_ownership.py
@@ -246,7 +246,7 @@
 
     async def scenario(fleet: GatewayFleet) -> None:
         (engine,) = fleet.add_engines(1)
-        fleet.engines.events_of = {f"digest-{n}": 150 for n in range(5)}
+        fleet.engines.events_by_request = {f"digest-{n}": 150 for n in range(5)}
         first, second = await fleet.async_add_many(2)
         await fleet.clock.async_sleep(1_000)
         assert (await async_submit(fleet, first, "digest", 5)).accepted
@@ -276,7 +276,7 @@
 
     async def scenario(fleet: GatewayFleet) -> None:
         (engine,) = fleet.add_engines(1)
-        fleet.engines.events_of = {f"digest-{n}": 150 for n in range(5)}
+        fleet.engines.events_by_request = {f"digest-{n}": 150 for n in range(5)}
         first, second = await fleet.async_add_many(2)
         await fleet.clock.async_sleep(1_000)
         assert (await async_submit(fleet, first, "digest", 5)).accepted
@@ -334,7 +334,7 @@
 
     async def scenario(fleet: GatewayFleet) -> None:
         (engine,) = fleet.add_engines(1)
-        fleet.engines.events_of = {f"digest-{n}": 150 for n in range(5)}
+        fleet.engines.events_by_request = {f"digest-{n}": 150 for n in range(5)}
         members = await fleet.async_add_many(3)
         await fleet.clock.async_sleep(1_000)
         assert (await async_submit(fleet, members[0], "digest", 5)).accepted
--- a/tests/components/membership/test_service.py
+++ b/tests/components/membership/test_service.py
@@ -74,7 +74,7 @@
         )
         assert took_ms >= 20_000
         private.faults.down = False
-        fleet.network.heal()
+        fleet.network.clear_cuts()
         new = f"{old}-1"
         await fleet.async_wait(lambda: all(new in d.members.by_session for d in others), 30_000)
         assert paused.core.session_id == paused.members.own_session_id == new
@@ -202,7 +202,7 @@
         daemons[0].core.get(SHARED_SETS).add("withdrawn_keys", "k")
         await asyncio.sleep(5)
         assert not daemons[3].core.get(SHARED_SETS).contains("withdrawn_keys", "k")
-        fleet.network.heal()
+        fleet.network.clear_cuts()
         await fleet.async_wait(
             lambda: daemons[3].core.get(SHARED_SETS).contains("withdrawn_keys", "k"), 15_000
         )
--- a/tests/components/placement/test_cold.py
+++ b/tests/components/placement/test_cold.py
@@ -169,7 +169,7 @@
                 await fleet.async_kill(member)
             await fleet.async_add_many(vms)
         if how == "evacuation ended":
-            fleet.take_back("dc1")
+            fleet.end_evacuation("dc1")
         await async_overload(fleet, 4)
         assert all(count_peak_arrivals(engine) <= BOUND for engine in cold)
         assert all(engine.ran for engine in cold)
--- a/tests/components/quotas/test_fleet.py
+++ b/tests/components/quotas/test_fleet.py
@@ -31,7 +31,7 @@
         for other in (*others, *isolated):
             fleet.datagrams.cut(member.address, other.address)
     await fleet.clock.async_sleep(12_000)
-    fleet.datagrams.heal()
+    fleet.datagrams.clear_cuts()
 
 
 async def async_halve(fleet: GatewayFleet) -> None:
@@ -42,7 +42,7 @@
         for right in fleet.members[middle:]:
             fleet.datagrams.cut(left.address, right.address)
     await fleet.clock.async_sleep(9_000)
-    fleet.datagrams.heal()
+    fleet.datagrams.clear_cuts()
 
 
 async def async_cut_from_other_centres(fleet: GatewayFleet) -> None:
@@ -53,7 +53,7 @@
         if other.core.settings.data_centre != isolated.core.settings.data_centre:
             fleet.datagrams.cut(isolated.address, other.address)
     await fleet.clock.async_sleep(9_000)
-    fleet.datagrams.heal()
+    fleet.datagrams.clear_cuts()
 
 
 async def async_cut_pair(fleet: GatewayFleet) -> None:
@@ -61,7 +61,7 @@
     await fleet.clock.async_sleep(3_000)
     fleet.datagrams.cut(fleet.members[0].address, fleet.members[1].address)
     await fleet.clock.async_sleep(9_000)
-    fleet.datagrams.heal()
+    fleet.datagrams.clear_cuts()
 
 
 async def async_restart_some(fleet: GatewayFleet) -> None:
@@ -90,7 +90,7 @@
         fleet.datagrams.cut(isolated.address, other.address)
     await fleet.clock.async_sleep(9_000)
     fleet.store.faults.down = False
-    fleet.datagrams.heal()
+    fleet.datagrams.clear_cuts()
 
 
 @pytest.mark.parametrize(
--- a/tests/components/quotas/test_histories.py
+++ b/tests/components/quotas/test_histories.py
@@ -62,13 +62,13 @@
             await self._async_apply_step(step)
             await self._fleet.clock.async_sleep(step.pause_ms)
         await asyncio.gather(*self._freezing)
-        self._fleet.datagrams.heal()
+        self._fleet.datagrams.clear_cuts()
         self._fleet.store.faults.down = False
 
     async def _async_apply_step(self, step: Step) -> None:
         fleet = self._fleet
         if step.kind == "heal":
-            fleet.datagrams.heal()
+            fleet.datagrams.clear_cuts()
         elif step.kind == "store":
             fleet.store.faults.down = not fleet.store.faults.down
         elif step.kind == "add":
@@ -121,7 +121,7 @@
         await fleet.clock.async_sleep(gap_ms)
         for on_process_resumed in member.core.on_process_resumed:
             on_process_resumed(gap_ms)
-        fleet.datagrams.heal()
+        fleet.datagrams.clear_cuts()
         fleet.members.append(member)
 
 
--- a/tests/faults/fleet.py
+++ b/tests/faults/fleet.py
@@ -37,7 +37,7 @@
 from standins.engine.client import FakeUpstreams
 from standins.engine.model import make_text
 from standins.engine.models import EngineParameters
-from standins.gate import Effect, follow_tasks
+from standins.gate import Effect, track_tasks
 from standins.network import FakeNetwork
 from standins.platform.store import FakePlatform
 
@@ -127,7 +127,7 @@
     """Three daemons with all components, two engines, two services, one platform."""
 
     def __init__(self) -> None:
-        follow_tasks(asyncio.get_running_loop())
+        track_tasks(asyncio.get_running_loop())
         self.clock = clock = LoopClock(0.0)
         self.platform = FakePlatform(clock)
         self.network = FakeNetwork(clock)
@@ -233,7 +233,7 @@
 
         async def async_run() -> Any:
             # A paused VM takes no call either, until it wakes.
-            await gate.async_pass()
+            await gate.async_wait_open()
             return await make(daemon.core)
 
         task = daemon.gate.spawn(async_run())
--- a/tests/faults/injection.py
+++ b/tests/faults/injection.py
@@ -106,7 +106,7 @@
     scene.fleet.killed.add(daemon.address)
     daemon.gate.lose()
     scene.fleet.daemons.isolate(daemon)
-    scene.fleet.network.unlisten(daemon.address)
+    scene.fleet.network.stop_listening(daemon.address)
     scene.later(EXPIRY_MS, lambda: None)
 
 
@@ -114,7 +114,7 @@
     """Stop a VM until others hold it for gone, then let it go on."""
     assert daemon.gate is not None
     daemon.gate.pause()
-    scene.later(PAUSE_MS, daemon.gate.wake)
+    scene.later(PAUSE_MS, daemon.gate.resume)
 
 
 def stop_store(scene: Scene, _: FakeDaemon) -> None:
@@ -187,7 +187,7 @@
 
 def _heal_links(scene: Scene) -> None:
     fleet = scene.fleet
-    fleet.network.heal()
+    fleet.network.clear_cuts()
     for daemon in fleet.daemons.running:
         if fleet.is_lost(daemon):
             fleet.daemons.isolate(daemon)
--- a/tests/helpers/peers.py
+++ b/tests/helpers/peers.py
@@ -32,7 +32,7 @@
     def cut(self, left: str, right: str) -> None:
         self._cut.add(frozenset((left, right)))
 
-    def heal(self) -> None:
+    def clear_cuts(self) -> None:
         self._cut.clear()
 
     def find(self, source: str, target: str) -> "FakePeerLinks | None":
--- a/tests/platform_adapter/test_store.py
+++ b/tests/platform_adapter/test_store.py
@@ -75,7 +75,7 @@
         assert [row.deleted for row in changed.rows] == [True]
         nothing = (await store.async_follow("jobs", changed.version, 50)).unwrap()
         assert nothing.rows == () and nothing.version == changed.version
-        wire.store.forget_history()
+        wire.store.drop_history()
         lost = await store.async_follow("jobs", 0, 50)
         assert isinstance(lost, Err) and isinstance(lost.err_value, HistoryLost)
 
--- a/tests/store/test_feed.py
+++ b/tests/store/test_feed.py
@@ -90,7 +90,7 @@
     async def scenario(store: FakeRowStore, listener: Listener, clock: LoopClock) -> None:
         store.drop(KEY)
         store.put(RowKey("t", "", "new"), b"2")
-        store.forget_history()
+        store.drop_history()
         await clock.async_sleep(FEED_WAIT_MS + 1_000)
         assert listener.rows == {"new": b"2"}
 
