--- a/tests/components/batch/test_failures.py
+++ b/tests/components/batch/test_failures.py
@@ -75,7 +75,7 @@
         other = next(vm for vm in fleet.services if vm != owner)
         chunk = next(iter(fleet.services[owner].keeper.chunks.values()))
         index = chunk.partition.index
-        fleet.world.move(index, other, tell_old=False)
+        fleet.world.move(index, other, notify_old_owner=False)
         await fleet.async_wait(manifest.job)
         assert chunk.key in fleet.services[owner].keeper.chunks, "the old owner was told"
         await fleet.clock.async_sleep(10_000)
--- a/tests/components/limits/test_slow_home.py
+++ b/tests/components/limits/test_slow_home.py
@@ -19,7 +19,7 @@
 from tests.helpers.virtual_time import VirtualTimeLoop
 
 
-def pause(duration_ms: int) -> None:
+def stand_still(duration_ms: int) -> None:
     """Let time pass in which nothing of the running loop goes on."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualTimeLoop)
@@ -63,7 +63,7 @@
     async def async_test(callers: Callers) -> None:
         sending = asyncio.create_task(callers.async_send(callers.others[0], 5))
         await callers.fleet.clock.async_sleep(1)
-        pause(stood_ms)
+        stand_still(stood_ms)
         assert await sending == 5
 
     run_fleet(async_test)
@@ -77,7 +77,7 @@
         callers.fleet.network.delay_ms = 60_000
         sending = asyncio.create_task(callers.async_send(callers.others[0], 5))
         await callers.fleet.clock.async_sleep(1)
-        pause(stood_ms)
+        stand_still(stood_ms)
         before = callers.fleet.get_now()
         assert await sending == 0
         assert callers.fleet.get_now() - before <= ASK_TIMEOUT_MS + ASK_INTERVAL_MS
@@ -162,7 +162,7 @@
         limits = fleet.vms[callers.others[0]].limits
         admitting = asyncio.create_task(limits.async_admit(ACME, Millis(before + deadline_ms)))
         await asyncio.sleep(0)
-        pause(stood_ms)
+        stand_still(stood_ms)
         assert isinstance(await admitting, Err)
         assert fleet.get_now() - before <= deadline_ms
 
--- a/tests/helpers/batch_fleet.py
+++ b/tests/helpers/batch_fleet.py
@@ -1,4 +1,4 @@
-"""Several VMs with batch in process, and the checker every batch failure test ends with."""
+"""Several in-process VMs with batch, and the check at the end of every batch failure test."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -27,7 +27,7 @@
 from standins.engine.models import EngineParameters
 from standins.platform.store import FakePlatform
 from tests.helpers.cores import make_configuration, make_core
-from tests.helpers.ledger_world import LedgerWorld
+from tests.helpers.ledger_world import SharedLedgerStore
 from tests.helpers.peers import FakePeerNetwork
 from tests.helpers.shared_sets import FakeSharedSets
 
@@ -44,7 +44,7 @@
 
 @dataclass
 class BatchFleet:
-    """Everything of one test; call `async_start` on a running loop."""
+    """VMs, engines and store of one test; `async_start` requires a running event loop."""
 
     vms: int = 3
     parameters: EngineParameters = field(default_factory=EngineParameters)
@@ -61,7 +61,7 @@
             for name, address in ADDRESSES.items()
         }
         self.network = FakePeerNetwork(clock)
-        self.world = LedgerWorld()
+        self.world = SharedLedgerStore()
         self.sets = FakeSharedSets()
         self.calendar = ManualCalendar()
         self.cores: dict[str, Core] = {}
@@ -97,7 +97,7 @@
         await self.upstreams.async_close()
 
     async def async_kill(self, session_id: str) -> None:
-        """Lose a VM with all it holds; others take its partitions over."""
+        """Kill a VM; the others take over its partitions."""
         self.network.kill(session_id)
         service = self.services.pop(session_id)
         self.world.ledgers.pop(session_id)
@@ -116,7 +116,7 @@
                 self.world.move(index, survivors[index % len(survivors)])
 
     def set_pause(self, *, paused: bool) -> None:
-        """Let all engines make no progress, or go on."""
+        """Pause or resume decoding at all engines."""
         for engine in self.engines.values():
             engine.faults.pause = paused
 
@@ -147,7 +147,7 @@
         return [decode_chunk(value) for _, value in sorted(found.items())]
 
     async def async_check(self, job: str, states: dict[str, str] | None = None) -> dict[str, int]:
-        """Check each item's one state, its history and its text; returns the counts of states."""
+        """Check the state, history and text of each item; returns the counts of states."""
         expected = states or {}
         self._check_history(job)
         vm = next(iter(self.services.values()))
@@ -179,7 +179,7 @@
 
 
 def make_lines(count: int, tokens: int = 10, word: str = "item") -> list[bytes]:
-    """Return lines whose custom id holds the prompt and the tokens, for the checker."""
+    """Return JSON lines whose custom id contains the prompt and the tokens, for the check."""
     lines = []
     for number in range(count):
         prompt = f"{word} {number}"
--- a/tests/helpers/claims.py
+++ b/tests/helpers/claims.py
@@ -1,4 +1,4 @@
-"""Claims of one process, for tests of the components above them."""
+"""In-memory claims, for tests of the components that use them."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -25,7 +25,7 @@
 
 
 class FakeClaims:
-    """Implements `Claims`; hand the same one to several cores to share it."""
+    """Implements `Claims`; several cores may share one."""
 
     def __init__(self) -> None:
         self.unavailable = False
--- a/tests/helpers/cores.py
+++ b/tests/helpers/cores.py
@@ -1,4 +1,4 @@
-"""Cores on stand-ins in process."""
+"""Cores on in-process stand-ins."""
 
 import random
 from typing import Any
@@ -67,5 +67,5 @@
 
 
 def make_configuration(version: int = 1, **sections: Any) -> Configuration:
-    """Return `make_document` decoded."""
+    """Return the decoded configuration of `make_document`."""
     return decode_document(version, make_document(**sections)).unwrap()
--- a/tests/helpers/daemons.py
+++ b/tests/helpers/daemons.py
@@ -1,4 +1,4 @@
-"""Tests on a fleet of daemons in process."""
+"""Runs tests on an in-process fleet of daemons."""
 
 from collections.abc import Awaitable, Callable
 
@@ -10,7 +10,7 @@
 
 
 def run_fleet(async_test: Callable[[FakeDaemons], Awaitable[None]]) -> None:
-    """Run a test on an empty fleet and close what it leaves."""
+    """Run a test on an empty fleet and close the fleet."""
 
     async def async_run() -> None:
         clock = LoopClock()
@@ -24,7 +24,7 @@
 
 
 def share_platform(fleet: FakeDaemons) -> FakePlatform:
-    """Return a second way to the fleet's store, with faults of its own."""
+    """Return a second platform on the same rows as the fleet's, with its own faults."""
     store = fleet.platform
     other = FakePlatform(fleet.clock, rows=store.rows)
     other._keys = store._keys
--- a/tests/helpers/gateways.py
+++ b/tests/helpers/gateways.py
@@ -1,4 +1,4 @@
-"""Fleets of gateway daemons on virtual time."""
+"""Runs tests on fleets of gateway daemons on virtual time."""
 
 from collections.abc import Awaitable, Callable
 
@@ -13,7 +13,7 @@
 
 
 def run_fleet(scenario: Callable[[GatewayFleet], Awaitable[None]], limit_s: float = 600) -> None:
-    """Run a scenario on a fresh fleet and stop the fleet at its end."""
+    """Run a scenario on a new fleet and close the fleet."""
 
     async def async_run() -> None:
         fleet = make_fleet(LoopClock())
@@ -28,7 +28,7 @@
 async def async_submit(
     fleet: GatewayFleet, member: FleetMember, job: str, items: int, tokens: int = 100
 ) -> FakeResponder:
-    """Submit a job of items named after it."""
+    """Submit a job whose items are named after it."""
     lines = "\n".join(f"{job}-{number} {tokens}" for number in range(items))
     return await async_send(fleet, member, f"/batch/{job}", lines.encode(), request_id=job)
 
@@ -42,7 +42,7 @@
     request_id: str = "",
     deadline_ms: int = 5_000,
 ) -> FakeResponder:
-    """Send a request and return what its caller got."""
+    """Send a request and return its caller's record of the response."""
     responder = FakeResponder(fleet.clock)
     request = fleet.make_request(path, body, deadline_ms, request_id)
     await member.core.get(FORWARDING).async_forward(request, responder)
@@ -50,7 +50,7 @@
 
 
 async def async_read(member: FleetMember, job: str, position: int = 0) -> ResultPage:
-    """Return the results of a job from a position on."""
+    """Return the results of a job from a position."""
     key = JobKey(CUSTOMER, job)
     read = await member.core.get(JOBS).async_read_results(key, position, 0)
     return read.unwrap()
--- a/tests/helpers/idle_upstreams.py
+++ b/tests/helpers/idle_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams in process whose silent connections end as they do over HTTP."""
+"""In-process upstreams whose silent connections time out as over HTTP."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
 
 
 class IdleUpstreams(FakeUpstreams):
-    """Ends a connection on which nothing comes for the idle time, as over HTTP."""
+    """Ends a connection that receives nothing for the idle time-out, as over HTTP."""
 
     async def async_generate(
         self, upstream: Upstream, call: GenerateCall, sink: StreamSink
--- a/tests/helpers/ledger_world.py
+++ b/tests/helpers/ledger_world.py
@@ -1,4 +1,4 @@
-"""Partitions shared by several sessions in process, with owners that move and outages."""
+"""Partitions shared by several in-process sessions, with changes of owner and outages."""
 
 import asyncio
 import zlib
@@ -16,8 +16,8 @@
 )
 
 
-class LedgerWorld:
-    """What the store holds: records, owner and epoch of each partition."""
+class SharedLedgerStore:
+    """Records, owner and epoch of each partition, as in the store."""
 
     def __init__(self, partitions: int = 16) -> None:
         self.records: list[dict[str, bytes]] = [{} for _ in range(partitions)]
@@ -25,29 +25,29 @@
         self.epochs = [0] * partitions
         self.down = False
         self.lose_next = False
-        """The next commit takes effect, its partition is lost and its answer too."""
+        """Whether the next commit takes effect but its answer and its partition are lost."""
         self.refused_prefix = "none"
-        """Commits of keys with this prefix are refused."""
+        """Prefix of keys whose commits are refused."""
         self.commits = 0
         self.history: list[tuple[str, bytes | None]] = []
-        self.ledgers: dict[str, WorldLedger] = {}
+        self.ledgers: dict[str, SharedLedger] = {}
 
-    def join(self, session_id: str) -> "WorldLedger":
-        self.ledgers[session_id] = WorldLedger(self, session_id)
+    def join(self, session_id: str) -> "SharedLedger":
+        self.ledgers[session_id] = SharedLedger(self, session_id)
         return self.ledgers[session_id]
 
     def spread(self) -> None:
-        """Give the partitions to the sessions in turn."""
+        """Assign the partitions to the sessions in turn."""
         sessions = sorted(self.ledgers)
         for index in range(len(self.owners)):
             self.move(index, sessions[index % len(sessions)])
 
-    def move(self, index: int, session_id: str, *, tell_old: bool = True) -> None:
-        """Change an owner; a paused one is not told and is stopped by its epoch only."""
+    def move(self, index: int, session_id: str, *, notify_old_owner: bool = True) -> None:
+        """Change an owner; a paused old owner is not notified, so that only its epoch fences it."""
         old = self.ledgers.get(self.owners[index])
         self.owners[index] = session_id
         self.epochs[index] += 1
-        if old is not None and tell_old:
+        if old is not None and notify_old_owner:
             old.lose(index)
         self.ledgers[session_id].gain(index)
 
@@ -60,10 +60,10 @@
         }
 
 
-class WorldPartition:
-    """One session's hold on a partition, as of one epoch."""
+class SharedPartition:
+    """A partition as owned by one session at one epoch."""
 
-    def __init__(self, world: LedgerWorld, index: int) -> None:
+    def __init__(self, world: SharedLedgerStore, index: int) -> None:
         self.index = index
         self.epoch = world.epochs[index]
         self.confirmed_at = Millis(0)
@@ -100,13 +100,13 @@
         return Ok(None)
 
 
-class WorldLedger:
-    """One session's view; implements `Ledger`."""
+class SharedLedger:
+    """Ledger of one session; implements `Ledger`."""
 
-    def __init__(self, world: LedgerWorld, session_id: str) -> None:
+    def __init__(self, world: SharedLedgerStore, session_id: str) -> None:
         self.session_id = session_id
         self._world = world
-        self._owned: dict[int, WorldPartition] = {}
+        self._owned: dict[int, SharedPartition] = {}
         self._on_gained: list[Callable[[Partition], None]] = []
         self._on_lost: list[Callable[[int], None]] = []
 
@@ -132,7 +132,7 @@
             on_gained(partition)
 
     def gain(self, index: int) -> None:
-        self._owned[index] = WorldPartition(self._world, index)
+        self._owned[index] = SharedPartition(self._world, index)
         for on_gained in self._on_gained:
             on_gained(self._owned[index])
 
--- a/tests/helpers/ledgers.py
+++ b/tests/helpers/ledgers.py
@@ -1,4 +1,4 @@
-"""A ledger in memory that owns every partition, for tests of the components above it."""
+"""In-memory ledger that owns all partitions, for tests of the components that use it."""
 
 import asyncio
 import zlib
@@ -16,7 +16,7 @@
 
 
 class FakePartition:
-    """One owned partition; `down` refuses commits."""
+    """One owned partition; it refuses commits while `down`."""
 
     def __init__(self, index: int) -> None:
         self.index = index
--- a/tests/helpers/online.py
+++ b/tests/helpers/online.py
@@ -1,4 +1,4 @@
-"""One daemon's online components on in-process upstreams."""
+"""Online components of one daemon on in-process upstreams."""
 
 from typing import Any
 
@@ -68,7 +68,7 @@
 
 
 class OnlineVm:
-    """One daemon; `upstreams` may be shared with others."""
+    """One daemon; several may share their `upstreams`."""
 
     def __init__(self, upstreams: FakeUpstreams | None = None, session_id: str = "vm1") -> None:
         self.upstreams = upstreams or FakeUpstreams(make_core().clock)
--- a/tests/helpers/order_worlds.py
+++ b/tests/helpers/order_worlds.py
@@ -1,4 +1,4 @@
-"""Several stewards over shared engines; ownership is set by the test."""
+"""Several order services on shared engines, whose ownership the test sets."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -24,8 +24,8 @@
 WEIGHT_BYTES = 1_000_000
 
 
-class OwnedOrNot(FakeLedger):
-    """One partition, which the VM owns while the test says so."""
+class SwitchableLedger(FakeLedger):
+    """Ledger of one partition that the VM owns while the test sets `owned`."""
 
     def __init__(self, session_id: str) -> None:
         super().__init__(session_id, 1)
@@ -35,8 +35,8 @@
         return self.owned
 
 
-class HeldUpstreams:
-    """One VM's way to the engines; a closed gate holds its orders back, as a pause does."""
+class GatedUpstreams:
+    """Engine client of one VM; it delays orders while `gate` is closed, as during a pause."""
 
     def __init__(self, engines: FakeUpstreams) -> None:
         self.gate = asyncio.Event()
@@ -55,15 +55,15 @@
         return await self._engines.async_send_order(upstream, order)
 
 
-class StewardVm:
-    """One VM with the order service alone."""
+class OrderVm:
+    """One VM that runs only the order service."""
 
     def __init__(self, world: "OrderWorld", session_id: str) -> None:
         self.clock = world.clock
-        self.way = HeldUpstreams(world.engines)
+        self.way = GatedUpstreams(world.engines)
         self.core = make_core(platform=world.platform, session_id=session_id, clock=world.clock)
         self.core.upstreams = UpstreamClients(self.way, world.engines)
-        self.ledger = OwnedOrNot(session_id)
+        self.ledger = SwitchableLedger(session_id)
         self.core.offer(LEDGER, self.ledger)
         self.core.blackboard.open_section(MEMBERS, world.members)
         self._writer = self.core.blackboard.open_section(CONFIGURATION, Configuration())
@@ -89,7 +89,7 @@
 
 
 class OrderWorld:
-    """One engine at 127.0.0.1:9001 and VMs that may be its steward."""
+    """One engine at 127.0.0.1:9001 and the VMs that may own it."""
 
     def __init__(
         self,
@@ -108,7 +108,7 @@
         self.weight_rate = weight_rate
         names = [f"vm{number}" for number in range(vms)]
         self.members = Members(names[0], {name: _make_member(name) for name in names})
-        self.vms = [StewardVm(self, name) for name in names]
+        self.vms = [OrderVm(self, name) for name in names]
 
     async def async_start(self) -> None:
         for vm in self.vms:
@@ -130,7 +130,7 @@
 
 
 def run_orders(async_body: Callable[[OrderWorld], Awaitable[None]], **world: Any) -> None:
-    """Run a test on a new world and close it."""
+    """Run a test on a new `OrderWorld` and close it."""
 
     async def async_run() -> None:
         made = OrderWorld(**world)
--- a/tests/helpers/peers.py
+++ b/tests/helpers/peers.py
@@ -1,4 +1,4 @@
-"""Links between daemons in process, without transport or codec, with faults to switch on."""
+"""In-process links between daemons, without transport or codec, with faults."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -11,7 +11,7 @@
 
 
 class FakePeerNetwork:
-    """All links of a test; `join` gives one daemon its end."""
+    """Links of a test; `join` returns the end of one daemon."""
 
     def __init__(self, clock: Clock, delay_ms: int = 1) -> None:
         self.clock = clock
@@ -47,7 +47,7 @@
 
 
 class FakePeerLinks:
-    """One daemon's end; implements `PeerLinks`."""
+    """Links of one daemon; implements `PeerLinks`."""
 
     def __init__(self, network: FakePeerNetwork, session_id: str) -> None:
         self.session_id = session_id
--- a/tests/helpers/shared_sets.py
+++ b/tests/helpers/shared_sets.py
@@ -1,10 +1,10 @@
-"""Shared sets of one process, for tests of the components above them."""
+"""In-memory shared sets, for tests of the components that use them."""
 
 from collections.abc import Callable
 
 
 class FakeSharedSets:
-    """Implements `SharedSets`; hand the same one to several cores to share it."""
+    """Implements `SharedSets`; several cores may share one."""
 
     def __init__(self) -> None:
         self.items: set[tuple[str, str]] = set()
--- a/tests/helpers/virtual_time.py
+++ b/tests/helpers/virtual_time.py
@@ -1,4 +1,4 @@
-"""Virtual time, as the stand-ins offer it."""
+"""Virtual time of the stand-ins, for tests."""
 
 from standins.virtual_time import ManualClock, VirtualTimeLoop, run_virtual
 
--- a/tests/helpers/vms.py
+++ b/tests/helpers/vms.py
@@ -1,4 +1,4 @@
-"""Several daemons' ledgers on one stand-in of the platform, with a membership set by hand."""
+"""Ledgers of several daemons on one platform stand-in, with a membership set by the test."""
 
 import asyncio
 import random
@@ -22,7 +22,7 @@
 
 
 class VmTable:
-    """One VM's view of the table: `paused` clear holds its calls before and after effect."""
+    """Table client of one VM; clearing `paused` delays its calls before and after their effect."""
 
     def __init__(self, table: FakePlatform) -> None:
         self.table = table
@@ -54,7 +54,7 @@
 
 
 class Vm:
-    """One daemon's core and ledger."""
+    """Core, ledger and claims of one daemon."""
 
     def __init__(self, fleet: "Fleet", session_id: str) -> None:
         self.core = make_core(
@@ -102,7 +102,7 @@
         self.members: dict[str, Member] = {}
 
     async def async_add(self, *sessions: str) -> None:
-        """Start VMs and wait until the wanted owners have settled."""
+        """Start VMs and wait until the partitions have their desired owners."""
         for session in sessions:
             self.vms[session] = Vm(self, session)
             self.set_state(session, MemberState.SERVING)
@@ -116,12 +116,12 @@
         self._publish()
 
     def forget(self, session: str) -> None:
-        """Let every VM hold this session for expired."""
+        """Remove a session from every VM's membership, as if it had expired."""
         self.members.pop(session, None)
         self._publish()
 
     def kill(self, session: str) -> None:
-        """Stop a VM without warning: nothing that it does reaches the store any more."""
+        """Kill a VM without notice; none of its calls reaches the store any more."""
         self.vms[session].table.dead = True
         self.network.kill(session)
 
