--- a/tests/faults/fleet.py
+++ b/tests/faults/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet in process, its callers, and what was seen of it from outside."""
+"""An in-process fleet, its callers, and the record of what they observe from outside."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -66,7 +66,7 @@
 
 
 class TextSink:
-    """Joins what one caller's connection received."""
+    """Joins the data that one caller's connection received."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -80,7 +80,7 @@
 
 
 class ObservedUpstreams(FakeUpstreams):
-    """Upstreams that write down each run with its time; refused and crossed calls are none."""
+    """Upstreams that record each run with its time; refused and crossed calls are no runs."""
 
     def __init__(self, clock: LoopClock) -> None:
         super().__init__(clock)
@@ -103,13 +103,13 @@
         if not self.services[upstream.address].refuse:
             repeatable = bool(content["repeatable"])
             self.runs.append(Run(self.now(), upstream.name, content["booking"], repeatable))
-            # A refusal of one send is judged by that send, too.
+            # Recorded under the request id as well, to check `not_run` of each single send.
             self.runs.append(Run(self.now(), upstream.name, call.request_id, True))
         return await super().async_call(upstream, call)
 
 
-class Door:
-    """Where callers come in at one VM; drains as the HTTP server does."""
+class CallerEndpoint:
+    """Caller connections of one VM; drains as the HTTP server does."""
 
     def __init__(self, fleet: "Fleet", daemon: FakeDaemon) -> None:
         self.calls: set[asyncio.Task[Any]] = set()
@@ -117,7 +117,7 @@
         self._daemon = daemon
 
     async def async_drain(self, deadline_ms: int) -> None:
-        self._fleet.left.add(self._daemon.address)
+        self._fleet.leaving.add(self._daemon.address)
         clock = self._daemon.core.clock
         while self.calls and clock.now() < deadline_ms:
             await clock.async_sleep(20)
@@ -143,17 +143,17 @@
         )
         self.record = Record(keys=[f"key-{name}" for name in CUSTOMERS])
         self.jobs: dict[str, list[str]] = {}
-        """Accepted job to its items, each named by prompt."""
+        """Accepted job -> its items, each named by its prompt."""
         self.on_effect: Callable[[Effect], None] | None = None
-        self.unended: set[str] = set()
+        self.unfinished_jobs: set[str] = set()
         self.listed: dict[str, ListedState] = {}
-        self.cut: list[str] = []
-        """Requests whose connection broke though nobody killed their VM."""
+        self.cut_calls: list[str] = []
+        """Requests whose connection broke although no fault killed their VM."""
         self.refused: dict[str, RefusalCode] = {}
-        """Request to the code of its last refusal."""
-        self.doors: dict[str, Door] = {}
-        self.left: set[str] = set()
-        """Addresses of the VMs that take no connection any more, as they leave."""
+        """Request -> code of its last refusal."""
+        self.endpoints: dict[str, CallerEndpoint] = {}
+        self.leaving: set[str] = set()
+        """Addresses of the VMs that leave and accept no connection any more."""
         self.killed: set[str] = set()
         """Addresses of the VMs that a fault killed."""
         self.sent = 0
@@ -163,9 +163,9 @@
         return [daemon for daemon in self.daemons.running if not self.is_lost(daemon)]
 
     def is_lost(self, daemon: FakeDaemon) -> bool:
-        """Return whether nobody can connect to this VM any more."""
+        """Return whether this VM accepts no connection any more."""
         assert daemon.gate is not None
-        return daemon.gate.lost or daemon.address in self.left
+        return daemon.gate.lost or daemon.address in self.leaving
 
     async def async_start(self) -> None:
         for address in ENGINES.values():
@@ -181,14 +181,14 @@
     async def async_add(self) -> FakeDaemon:
         daemon = await self.daemons.async_add()
         assert daemon.gate is not None
-        daemon.gate.on_effect = self._note
+        daemon.gate.on_effect = self._on_effect
         versions = self.record.versions.setdefault(daemon.address, [0])
         daemon.core.blackboard.subscribe(
             CONFIGURATION, lambda configuration: versions.append(configuration.version)
         )
         self._follow_admissions(daemon)
-        self.doors[daemon.address] = door = Door(self, daemon)
-        daemon.core.drainables.append(door)
+        self.endpoints[daemon.address] = endpoint = CallerEndpoint(self, daemon)
+        daemon.core.drainables.append(endpoint)
         self.listed[daemon.address] = ListedState.LIVE
         self.publish_list()
         return daemon
@@ -209,7 +209,7 @@
 
         limits.async_admit = async_admit
 
-    def _note(self, effect: Effect) -> None:
+    def _on_effect(self, effect: Effect) -> None:
         if self.on_effect is not None:
             self.on_effect(effect)
 
@@ -223,7 +223,7 @@
         await asyncio.sleep(0)
 
     async def async_as_caller(self, vm: int, make: Callable[[Any], Awaitable[Any]]) -> Any:
-        """Run a call at one VM; None if the connection broke as the VM was lost."""
+        """Run a call at one VM; returns None if the VM was lost before the answer."""
         daemon = self.daemons.running[vm]
         assert daemon.gate is not None
         if self.is_lost(daemon):
@@ -232,18 +232,18 @@
         gate = daemon.gate
 
         async def async_run() -> Any:
-            # A paused VM takes no call either, until it wakes.
+            # A paused VM accepts no call until it resumes.
             await gate.async_wait_open()
             return await make(daemon.core)
 
         task = daemon.gate.spawn(async_run())
-        calls = self.doors[daemon.address].calls
+        calls = self.endpoints[daemon.address].calls
         calls.add(task)
         await asyncio.wait({task})
         calls.discard(task)
         if task.cancelled():
             if daemon.address not in self.killed:
-                self.cut.append(f"a call at {daemon.address}")
+                self.cut_calls.append(f"a call at {daemon.address}")
             return None
         return task.result()
 
@@ -258,7 +258,7 @@
         tokens: int = TOKENS,
         deadline_ms: int = DEADLINE_MS,
     ) -> bool:
-        """Send one streamed request; returns whether its whole answer came."""
+        """Send one streamed request; returns whether its complete answer arrived."""
         sink = TextSink()
         body = {"model": "small", "prompt": prompt, "max_tokens": tokens, "stream": True}
 
@@ -286,7 +286,7 @@
     async def async_book(
         self, vm: int, request: str, key: str, *, repeatable: bool = False, body: str = "a ground"
     ) -> bool:
-        """Book a ground; returns whether the whole answer came."""
+        """Book a ground; returns whether the complete answer arrived."""
 
         async def async_send(core: Any) -> Any:
             identified = core.get(KEYS).identify("key-acme")
@@ -321,7 +321,7 @@
         refusal = ended.err_value
         self.record.refusals.append(RefusalRecord(send, refusal.not_run))
         if any(run.request == request for run in self.upstreams.runs):
-            # By now an earlier send under the same key has run: "not run" would mislead.
+            # An earlier send under the same key may have run, and then `not_run` would be wrong.
             self.record.refusals.append(RefusalRecord(request, refusal.not_run))
         self.refused[request] = refusal.code
         return False
@@ -355,7 +355,7 @@
         return isinstance(await self.async_as_caller(vm, async_send), Ok)
 
     async def async_read_job(self, job: str) -> Result[Any, Any]:
-        """Return the job's progress as the first live VM tells it."""
+        """Return the job's progress as reported by the first live VM."""
         return await self.live[0].core.get(BATCH).jobs.async_describe("acme", job)
 
     async def async_wait_job(self, job: str, limit_s: int = 300) -> None:
@@ -365,10 +365,10 @@
             if isinstance(progress, Ok) and not progress.ok_value.counts.get("undone", 0):
                 return
             await self.clock.async_sleep(1000)
-        self.unended.add(job)
+        self.unfinished_jobs.add(job)
 
     async def async_collect(self) -> Record:
-        """Add what upstreams saw and what can be read back to the record."""
+        """Add the runs at upstreams and the results read back to the record."""
         record = self.record
         record.received += [repr(call).encode() for _, call in self.upstreams.calls]
         record.runs += self.upstreams.runs
--- a/tests/faults/injection.py
+++ b/tests/faults/injection.py
@@ -1,4 +1,4 @@
-"""Faults of the brief, each done to the VM that stands at the step."""
+"""Faults, each applied to the VM that reaches the step."""
 
 import asyncio
 import contextvars
@@ -14,7 +14,7 @@
 from tests.faults.steps import Step
 
 PAUSE_MS: Final = 45_000
-"""Longer than the 30 s after which a silent session is expired."""
+"""Longer than the 30 s after which a session without heartbeat expires."""
 OUTAGE_MS: Final = 60_000
 SLOW_MS: Final = 2_000
 LINK_MS: Final = 20_000
@@ -22,32 +22,32 @@
 END_MARKER_MS: Final = 2_000
 LAG_MS: Final = 30_000
 EXPIRY_MS: Final = 45_000
-"""A lost VM is expired and its partitions are owned by others so long after."""
+"""Time after which a lost VM has expired and others own its partitions."""
 RECOVERY_MS: Final = 15_000
-"""How long the fleet has to recover once all faults have ended."""
+"""Time that the fleet has to recover after the end of all faults."""
 
-Fault = Callable[["Scene", FakeDaemon], None]
+Fault = Callable[["FaultScenario", FakeDaemon], None]
 
 
-class Scene:
-    """One fleet with the faults that a cell does to it."""
+class FaultScenario:
+    """A fleet and the faults that one cell of the matrix applies to it."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self._tasks: list[asyncio.Task[Any]] = []
-        self._healing: list[asyncio.Task[Any]] = []
+        self._repairs: list[asyncio.Task[Any]] = []
         self.resend: Callable[[int], Coroutine[Any, Any, Any]] | None = None
-        """Sends the path's own request again, to a VM by number."""
+        """Sends the path's own request again to the VM of a number."""
         self.fired: list[str] = []
         self.patched: list[bool] = []
         self._armed: list[tuple[Step, Fault, int]] = []
 
     def arm(self, step: Step, fault: Fault) -> None:
-        """Let a fault come at a step; a second one waits until the first has come."""
+        """Apply a fault at a step; a second one is armed only after the first was applied."""
         self._armed.append((step, fault, 0))
-        self.fleet.on_effect = self._note
+        self.fleet.on_effect = self._on_effect
 
-    def _note(self, effect: Effect) -> None:
+    def _on_effect(self, effect: Effect) -> None:
         if not self._armed:
             return
         step, fault, seen = self._armed[0]
@@ -62,31 +62,31 @@
         fault(self, daemon)
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run something of the outside world."""
-        self._tasks.append(outside(work))
+        """Run work of the outside world as a task."""
+        self._tasks.append(create_outside_task(work))
 
-    def later(self, delay_ms: int, callback: Callable[[], None]) -> None:
-        """Heal later."""
+    def schedule_repair(self, delay_ms: int, callback: Callable[[], None]) -> None:
+        """End a fault by `callback` after `delay_ms`."""
 
-        async def async_heal() -> None:
+        async def async_repair() -> None:
             await self.fleet.clock.async_sleep(delay_ms)
             callback()
 
-        self._healing.append(outside(async_heal()))
+        self._repairs.append(create_outside_task(async_repair()))
 
     def find_other(self, daemon: FakeDaemon) -> int:
-        """Return the number of a live VM other than this one, if there is any."""
+        """Return the number of a live VM, another than this one if there is any."""
         fleet = self.fleet
         live = [n for n, other in enumerate(fleet.daemons.running) if not fleet.is_lost(other)]
         others = [number for number in live if fleet.daemons.running[number] is not daemon]
         return (others or live)[0]
 
     async def async_recover(self) -> None:
-        """Wait until all faults have ended and the fleet had time to recover."""
+        """Wait until all faults have ended and the fleet has had time to recover."""
         await self.fleet.clock.async_sleep(RECOVERY_MS)
-        while self._healing:
-            healing, self._healing = self._healing, []
-            await asyncio.wait(healing)
+        while self._repairs:
+            repairs, self._repairs = self._repairs, []
+            await asyncio.wait(repairs)
             await self.fleet.clock.async_sleep(RECOVERY_MS)
 
     async def async_finish(self) -> None:
@@ -95,107 +95,107 @@
             await self._tasks.pop(0)
 
 
-def outside(work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-    """Run a coroutine as nobody's task, also from within a daemon's."""
+def create_outside_task(work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+    """Create a task that belongs to no daemon, even if called from a daemon's task."""
     return asyncio.get_running_loop().create_task(work, context=contextvars.Context())
 
 
-def kill_vm(scene: Scene, daemon: FakeDaemon) -> None:
-    """Lose a VM with all that it holds."""
+def kill_vm(scenario: FaultScenario, daemon: FakeDaemon) -> None:
+    """Kill a VM without any clean-up."""
     assert daemon.gate is not None
-    scene.fleet.killed.add(daemon.address)
+    scenario.fleet.killed.add(daemon.address)
     daemon.gate.lose()
-    scene.fleet.daemons.isolate(daemon)
-    scene.fleet.network.stop_listening(daemon.address)
-    scene.later(EXPIRY_MS, lambda: None)
+    scenario.fleet.daemons.isolate(daemon)
+    scenario.fleet.network.stop_listening(daemon.address)
+    scenario.schedule_repair(EXPIRY_MS, lambda: None)
 
 
-def pause_vm(scene: Scene, daemon: FakeDaemon) -> None:
-    """Stop a VM until others hold it for gone, then let it go on."""
+def pause_vm(scenario: FaultScenario, daemon: FakeDaemon) -> None:
+    """Pause a VM until others consider it gone, then resume it."""
     assert daemon.gate is not None
     daemon.gate.pause()
-    scene.later(PAUSE_MS, daemon.gate.resume)
+    scenario.schedule_repair(PAUSE_MS, daemon.gate.resume)
 
 
-def stop_store(scene: Scene, _: FakeDaemon) -> None:
-    """Let the store refuse everything for a minute."""
-    faults = scene.fleet.platform.faults
+def stop_store(scenario: FaultScenario, _: FakeDaemon) -> None:
+    """Make the store refuse all calls for 60 s."""
+    faults = scenario.fleet.platform.faults
     faults.down = True
-    scene.later(OUTAGE_MS, lambda: setattr(faults, "down", False))
+    scenario.schedule_repair(OUTAGE_MS, lambda: setattr(faults, "down", False))
 
 
-def slow_store(scene: Scene, _: FakeDaemon) -> None:
-    """Let each call of the store take 2 s."""
-    faults = scene.fleet.platform.faults
+def slow_store(scenario: FaultScenario, _: FakeDaemon) -> None:
+    """Make each call of the store take 2 s, for 60 s."""
+    faults = scenario.fleet.platform.faults
     faults.slow_ms = SLOW_MS
-    scene.later(OUTAGE_MS, lambda: setattr(faults, "slow_ms", 0))
+    scenario.schedule_repair(OUTAGE_MS, lambda: setattr(faults, "slow_ms", 0))
 
 
-def lose_store_answer(scene: Scene, _: FakeDaemon) -> None:
-    """Lose the answers of the next two writes after their effect."""
-    scene.fleet.platform.faults.lose_answers = 2
+def lose_store_answer(scenario: FaultScenario, _: FakeDaemon) -> None:
+    """Lose the answers of the next two writes, which take effect."""
+    scenario.fleet.platform.faults.lose_answers = 2
 
 
-def crash_engines(scene: Scene, _: FakeDaemon) -> None:
-    """Crash the engines with all that runs there."""
-    for engine in scene.fleet.upstreams.engines.values():
+def crash_engines(scenario: FaultScenario, _: FakeDaemon) -> None:
+    """Crash all engines with their runs."""
+    for engine in scenario.fleet.upstreams.engines.values():
         engine.crash()
 
 
-def silence_engines(scene: Scene, _: FakeDaemon) -> None:
-    """Let open streams send nothing more, while new ones work."""
-    for engine in scene.fleet.upstreams.engines.values():
+def silence_engines(scenario: FaultScenario, _: FakeDaemon) -> None:
+    """Make open streams send nothing for a while; new streams work."""
+    for engine in scenario.fleet.upstreams.engines.values():
         engine.faults.silent = True
-    scene.later(SILENCE_MS, lambda: _set_engines(scene, silent=False))
+    scenario.schedule_repair(SILENCE_MS, lambda: _set_engines(scenario, silent=False))
 
 
-def cross_answer(scene: Scene, _: FakeDaemon) -> None:
-    """Let each engine answer the next request under another's id."""
-    _set_engines(scene, cross_answers=True)
+def cross_answer(scenario: FaultScenario, _: FakeDaemon) -> None:
+    """Make each engine answer its next request under another request's id."""
+    _set_engines(scenario, cross_answers=True)
 
 
-def drop_end_marker(scene: Scene, _: FakeDaemon) -> None:
-    """Let streams end without their end marker."""
-    _set_engines(scene, drop_end=True)
-    scene.later(END_MARKER_MS, lambda: _set_engines(scene, drop_end=False))
+def drop_end_marker(scenario: FaultScenario, _: FakeDaemon) -> None:
+    """Make streams end without their end marker for a while."""
+    _set_engines(scenario, drop_end=True)
+    scenario.schedule_repair(END_MARKER_MS, lambda: _set_engines(scenario, drop_end=False))
 
 
-def _set_engines(scene: Scene, **faults: bool) -> None:
-    for engine in scene.fleet.upstreams.engines.values():
+def _set_engines(scenario: FaultScenario, **faults: bool) -> None:
+    for engine in scenario.fleet.upstreams.engines.values():
         for name, value in faults.items():
             setattr(engine.faults, name, value)
 
 
-def lose_service_answer(scene: Scene, _: FakeDaemon) -> None:
-    """Lose the next answer of each plain service after its effect."""
-    for service in scene.fleet.upstreams.services.values():
+def lose_service_answer(scenario: FaultScenario, _: FakeDaemon) -> None:
+    """Lose the next answer of each plain service, whose call takes effect."""
+    for service in scenario.fleet.upstreams.services.values():
         service.lose_answers = 1
 
 
-def silence_links(scene: Scene, daemon: FakeDaemon) -> None:
-    """Let the open links of a VM carry nothing more, while new ones work."""
-    for other in scene.fleet.daemons.running:
+def silence_links(scenario: FaultScenario, daemon: FakeDaemon) -> None:
+    """Silence the open links of a VM; new links work."""
+    for other in scenario.fleet.daemons.running:
         if other is not daemon:
-            scene.fleet.network.silence(daemon.address, other.address)
+            scenario.fleet.network.silence(daemon.address, other.address)
 
 
-def cut_links(scene: Scene, daemon: FakeDaemon) -> None:
-    """Break the links of a VM for a while."""
-    scene.fleet.daemons.isolate(daemon)
-    scene.later(LINK_MS, lambda: _heal_links(scene))
+def cut_links(scenario: FaultScenario, daemon: FakeDaemon) -> None:
+    """Cut the links of a VM for a while."""
+    scenario.fleet.daemons.isolate(daemon)
+    scenario.schedule_repair(LINK_MS, lambda: _restore_links(scenario))
 
 
-def _heal_links(scene: Scene) -> None:
-    fleet = scene.fleet
+def _restore_links(scenario: FaultScenario) -> None:
+    fleet = scenario.fleet
     fleet.network.clear_cuts()
     for daemon in fleet.daemons.running:
         if fleet.is_lost(daemon):
             fleet.daemons.isolate(daemon)
 
 
-def leave_vm(scene: Scene, daemon: FakeDaemon) -> None:
-    """Take a VM out for maintenance, while the list of VMs lags."""
-    fleet = scene.fleet
+def leave_vm(scenario: FaultScenario, daemon: FakeDaemon) -> None:
+    """Take a VM out of service for maintenance while the list of VMs lags."""
+    fleet = scenario.fleet
     fleet.platform.faults.list_lag_ms = LAG_MS
     fleet.listed[daemon.address] = ListedState.LEAVING
     fleet.publish_list()
@@ -212,23 +212,23 @@
         await asyncio.wait({gate.spawn(async_leave())})
         gate.lose()
 
-    scene.spawn(async_go())
+    scenario.spawn(async_go())
 
 
-def lag_list(scene: Scene, _: FakeDaemon) -> None:
-    """Let the list of VMs lag."""
-    scene.fleet.platform.faults.list_lag_ms = LAG_MS
+def lag_list(scenario: FaultScenario, _: FakeDaemon) -> None:
+    """Make the list of VMs lag."""
+    scenario.fleet.platform.faults.list_lag_ms = LAG_MS
 
 
-def resend(scene: Scene, daemon: FakeDaemon) -> None:
-    """Let the caller send the same request to another VM at the same time."""
-    if scene.resend is not None:
-        scene.spawn(scene.resend(scene.find_other(daemon)))
+def resend(scenario: FaultScenario, daemon: FakeDaemon) -> None:
+    """Send the same request to another VM at the same time."""
+    if scenario.resend is not None:
+        scenario.spawn(scenario.resend(scenario.find_other(daemon)))
 
 
-def race_operators(scene: Scene, daemon: FakeDaemon) -> None:
-    """Let two operators patch the same version at two VMs."""
-    fleet = scene.fleet
+def race_operators(scenario: FaultScenario, daemon: FakeDaemon) -> None:
+    """Patch the same configuration version by two operators at two VMs."""
+    fleet = scenario.fleet
     base = daemon.core.get(CONFIGURATION_FOLLOWER).version
 
     async def async_patch(number: int, name: str) -> None:
@@ -237,26 +237,26 @@
         patched = await fleet.async_as_caller(
             number, lambda _: follower.async_patch(base, name, patch)
         )
-        scene.patched.append(patched is not None and patched.is_ok())
+        scenario.patched.append(patched is not None and patched.is_ok())
 
     live = [n for n, d in enumerate(fleet.daemons.running) if not fleet.is_lost(d)]
     for number, name in zip(live[-2:], ("left", "right"), strict=False):
-        scene.spawn(async_patch(number, name))
+        scenario.spawn(async_patch(number, name))
 
 
-def send_poison(scene: Scene, daemon: FakeDaemon) -> None:
-    """Let one caller send a request that crashes each engine that runs it, and send it again."""
-    fleet = scene.fleet
+def send_poison(scenario: FaultScenario, daemon: FakeDaemon) -> None:
+    """Send a request that crashes each engine that runs it, three times."""
+    fleet = scenario.fleet
     for engine in fleet.upstreams.engines.values():
         engine.faults.crash_marker = POISON
 
     async def async_send() -> None:
         for attempt in range(3):
-            vm = scene.find_other(daemon)
+            vm = scenario.find_other(daemon)
             await fleet.async_generate(vm, f"poison{attempt}", POISON, customer="busy")
             await fleet.clock.async_sleep(1000)
 
-    scene.spawn(async_send())
+    scenario.spawn(async_send())
 
 
 VM_FAULTS: Final[dict[str, Fault]] = {
--- a/tests/faults/paths.py
+++ b/tests/faults/paths.py
@@ -1,4 +1,4 @@
-"""The paths that faults come to: their steps, the callers' work, and what must come of it."""
+"""Paths to which faults are applied: their steps, the work of callers, and what must result."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -20,20 +20,20 @@
     SERVICE_FAULTS,
     VM_FAULTS,
     Fault,
-    Scene,
+    FaultScenario,
+    create_outside_task,
     leave_vm,
-    outside,
 )
 from tests.faults.steps import Step, match_call, match_frame, match_put, match_write
 
-Work = Callable[[Scene], Awaitable[None]]
+Work = Callable[[FaultScenario], Awaitable[None]]
 
 RETRY_MS: Final = 1000
 MAX_SENDS: Final = 150
 LONG_TOKENS: Final = 15_000
 LONG_MS: Final = 300_000
 SECONDS_MS: Final = 11_000
-"""A configuration, a withdrawal or an end of service is in force everywhere within this."""
+"""Time within which a configuration, withdrawal or end of service is in force everywhere."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,13 +44,13 @@
     work: Work
     steps: tuple[Step, ...]
     faults: dict[str, Fault]
-    """All that can come to it: an engine's fault does nothing to a path without engines."""
+    """Faults that affect it; for example, engine faults have no effect on a path without engines."""
 
 
-async def async_insist(
+async def async_send_until_answered(
     fleet: Fleet, vm: int, name: str, async_send: Callable[[int, str], Awaitable[bool]]
 ) -> bool:
-    """Send until answered, at one VM after another, as callers do; False if it may not run."""
+    """Send to one VM after another until answered; False if the outcome is unknown."""
     for attempt in range(MAX_SENDS):
         live = [n for n, d in enumerate(fleet.daemons.running) if not fleet.is_lost(d)]
         at = vm if attempt == 0 else live[attempt % len(live)]
@@ -63,43 +63,45 @@
     raise AssertionError(f"{name}: no answer to {MAX_SENDS} sends: {fleet.refused}")
 
 
-async def async_online_plain(scene: Scene) -> None:
-    fleet = scene.fleet
+async def async_online_plain(scenario: FaultScenario) -> None:
+    fleet = scenario.fleet
 
     async def async_send(vm: int, request: str) -> bool:
         return await fleet.async_generate(vm, request, "a blurb")
 
-    scene.resend = lambda vm: fleet.async_generate(vm, "again", "a blurb")
-    assert await async_insist(fleet, 0, "plain", async_send)
+    scenario.resend = lambda vm: fleet.async_generate(vm, "again", "a blurb")
+    assert await async_send_until_answered(fleet, 0, "plain", async_send)
 
 
-async def async_online_claimed(scene: Scene) -> None:
-    fleet = scene.fleet
+async def async_online_claimed(scenario: FaultScenario) -> None:
+    fleet = scenario.fleet
 
     async def async_send(vm: int, request: str) -> bool:
         return await fleet.async_generate(vm, request, "a tag", key="tag-1")
 
-    scene.resend = lambda vm: fleet.async_generate(vm, "again", "a tag", key="tag-1")
-    assert await async_insist(fleet, 0, "claimed", async_send)
+    scenario.resend = lambda vm: fleet.async_generate(vm, "again", "a tag", key="tag-1")
+    assert await async_send_until_answered(fleet, 0, "claimed", async_send)
 
 
-async def async_booking(scene: Scene) -> None:
-    fleet = scene.fleet
+async def async_booking(scenario: FaultScenario) -> None:
+    fleet = scenario.fleet
 
     async def async_send(vm: int, request: str) -> bool:
         return await fleet.async_book(vm, request, "booking")
 
-    scene.resend = lambda vm: fleet.async_book(vm, "again", "booking")
-    await async_insist(fleet, 0, "booking", async_send)
-    # The lost outcome stays lost and the known one known, wherever and whenever it is asked.
-    await scene.async_recover()
+    scenario.resend = lambda vm: fleet.async_book(vm, "again", "booking")
+    await async_send_until_answered(fleet, 0, "booking", async_send)
+    # An unknown outcome stays unknown and a known one known, at any VM and any later time.
+    await scenario.async_recover()
     before = len(fleet.upstreams.runs)
-    await async_insist(fleet, scene.find_other(fleet.daemons.running[0]), "booking", async_send)
+    await async_send_until_answered(
+        fleet, scenario.find_other(fleet.daemons.running[0]), "booking", async_send
+    )
     assert not before or len(fleet.upstreams.runs) == before, "it ran again"
 
 
-async def async_submit_insisting(scene: Scene, items: int) -> str:
-    fleet = scene.fleet
+async def async_submit_until_accepted(scenario: FaultScenario, items: int) -> str:
+    fleet = scenario.fleet
     prompts = [f"summary {number}" for number in range(items)]
     jobs: list[str] = []
 
@@ -107,29 +109,29 @@
         jobs.append(await fleet.async_submit(vm, "digest", prompts))
         return bool(jobs[-1])
 
-    scene.resend = lambda vm: fleet.async_submit(vm, "digest", prompts)
-    assert await async_insist(fleet, 0, "digest", async_send)
+    scenario.resend = lambda vm: fleet.async_submit(vm, "digest", prompts)
+    assert await async_send_until_answered(fleet, 0, "digest", async_send)
     return jobs[-1]
 
 
-async def async_batch(scene: Scene) -> None:
-    fleet = scene.fleet
-    job = await async_submit_insisting(scene, 40)
+async def async_batch(scenario: FaultScenario) -> None:
+    fleet = scenario.fleet
+    job = await async_submit_until_accepted(scenario, 40)
     await fleet.async_wait_job(job)
 
 
-async def async_batch_cancel(scene: Scene) -> None:
-    fleet = scene.fleet
-    job = await async_submit_insisting(scene, 140)
+async def async_batch_cancel(scenario: FaultScenario) -> None:
+    fleet = scenario.fleet
+    job = await async_submit_until_accepted(scenario, 140)
     await fleet.clock.async_sleep(300)
 
     async def async_send(vm: int, _: str) -> bool:
         return await fleet.async_cancel(vm, job)
 
-    assert await async_insist(fleet, 1, "cancel", async_send)
+    assert await async_send_until_answered(fleet, 1, "cancel", async_send)
     await fleet.async_wait_job(job)
     ended_at = fleet.clock.now()
-    await scene.async_recover()
+    await scenario.async_recover()
     late = [
         run for run in fleet.upstreams.runs if run.at_ms > ended_at and "poison" not in run.request
     ]
@@ -137,7 +139,7 @@
 
 
 async def async_patch(fleet: Fleet, vm: int, patch_id: str, patch: Any) -> int:
-    """Patch as an operator does, who reads the version anew if it was stale."""
+    """Patch as an operator does, who reads the version again if it was stale."""
     versions: list[int] = []
 
     async def async_send(number: int, _: str) -> bool:
@@ -151,24 +153,24 @@
             versions.append(patched.ok_value.version)
         return isinstance(patched, Ok)
 
-    assert await async_insist(fleet, vm, patch_id, async_send)
+    assert await async_send_until_answered(fleet, vm, patch_id, async_send)
     return versions[-1]
 
 
-async def async_patch_configuration(scene: Scene) -> None:
-    fleet = scene.fleet
-    scene.resend = lambda vm: async_patch(fleet, vm, "patch-1", {"models": {"small": "2"}})
+async def async_patch_configuration(scenario: FaultScenario) -> None:
+    fleet = scenario.fleet
+    scenario.resend = lambda vm: async_patch(fleet, vm, "patch-1", {"models": {"small": "2"}})
     version = await async_patch(fleet, 0, "patch-1", {"models": {"small": "2"}})
-    await scene.async_recover()
+    await scenario.async_recover()
     for daemon in fleet.live:
         assert daemon.core.blackboard.read(CONFIGURATION).version >= version
 
 
-async def async_withdraw_key(scene: Scene) -> None:
-    fleet = scene.fleet
+async def async_withdraw_key(scenario: FaultScenario) -> None:
+    fleet = scenario.fleet
     key_hash = hash_key("key-busy")
-    # Takes minutes if nobody ends it, longer than any pause.
-    running = outside(
+    # Takes minutes unless it is ended, longer than any pause.
+    running = create_outside_task(
         fleet.async_generate(
             1, "running", "long", customer="busy", tokens=LONG_TOKENS, deadline_ms=LONG_MS
         )
@@ -181,9 +183,9 @@
         )
         return done is not None
 
-    scene.resend = lambda vm: async_send(vm, "")
-    assert await async_insist(fleet, 0, "withdraw", async_send)
-    await scene.async_recover()
+    scenario.resend = lambda vm: async_send(vm, "")
+    assert await async_send_until_answered(fleet, 0, "withdraw", async_send)
+    await scenario.async_recover()
     assert running.done(), "a request runs on under a withdrawn key"
     assert not running.result()
     for daemon in fleet.live:
@@ -191,68 +193,68 @@
         assert key_hash in daemon.core.blackboard.read(CONFIGURATION).withdrawn
 
 
-async def async_limit_burst(scene: Scene) -> None:
+async def async_limit_burst(scenario: FaultScenario) -> None:
     """One customer sends several times its rate to all VMs for six seconds."""
-    fleet = scene.fleet
+    fleet = scenario.fleet
     for number in range(60):
         for vm in range(3):
             if not fleet.is_lost(fleet.daemons.running[vm]):
                 request = f"burst-{number}-{vm}"
-                scene.spawn(fleet.async_generate(vm, request, "short", customer="busy"))
+                scenario.spawn(fleet.async_generate(vm, request, "short", customer="busy"))
         await fleet.clock.async_sleep(100)
-    await scene.async_recover()
-    # Healed, the customer is served again.
+    await scenario.async_recover()
+    # After the faults have ended, the customer is served again.
     live = fleet.daemons.running.index(fleet.live[0])
     assert await fleet.async_generate(live, "after", "short", customer="busy")
 
 
-async def async_join(scene: Scene) -> None:
-    """A VM joins and takes partitions over while bookings come in."""
-    fleet = scene.fleet
-    scene.spawn(fleet.async_add())
+async def async_join(scenario: FaultScenario) -> None:
+    """A VM joins and takes over partitions while bookings arrive."""
+    fleet = scenario.fleet
+    scenario.spawn(fleet.async_add())
     for number in range(12):
         key = f"booking-{number}"
 
         async def async_send(vm: int, request: str, key: str = key) -> bool:
             return await fleet.async_book(vm, request, key)
 
-        scene.spawn(async_insist(fleet, number % 3, key, async_send))
+        scenario.spawn(async_send_until_answered(fleet, number % 3, key, async_send))
         await fleet.clock.async_sleep(1000)
-    await scene.async_recover()
+    await scenario.async_recover()
 
 
-async def async_leave(scene: Scene) -> None:
+async def async_leave(scenario: FaultScenario) -> None:
     """A VM leaves while bookings and requests run there."""
-    fleet = scene.fleet
-    scene.spawn(async_online_plain(scene))
-    scene.spawn(async_booking(scene))
+    fleet = scenario.fleet
+    scenario.spawn(async_online_plain(scenario))
+    scenario.spawn(async_booking(scenario))
     await fleet.clock.async_sleep(20)
-    leave_vm(scene, fleet.daemons.running[0])
-    await scene.async_recover()
+    leave_vm(scenario, fleet.daemons.running[0])
+    await scenario.async_recover()
 
 
-async def async_leave_upstream(scene: Scene) -> None:
+async def async_leave_upstream(scenario: FaultScenario) -> None:
     """Operators take an upstream out of service under traffic."""
-    fleet = scene.fleet
+    fleet = scenario.fleet
 
     async def async_traffic() -> None:
         for number in range(80):
             live = [n for n, d in enumerate(fleet.daemons.running) if not fleet.is_lost(d)]
             vm = live[number % len(live)]
-            scene.spawn(fleet.async_generate(vm, f"traffic-{number}", "short"))
+            scenario.spawn(fleet.async_generate(vm, f"traffic-{number}", "short"))
             await fleet.clock.async_sleep(800)
 
-    scene.spawn(async_traffic())
+    scenario.spawn(async_traffic())
     await async_patch(fleet, 0, "leave", {"leaving_upstreams": {"e1": True}})
     accepted_at = fleet.clock.now()
-    # A version needs its seconds to spread where links or VMs fail; then the upstream is left.
-    while not _is_left_everywhere(fleet) and fleet.clock.now() < accepted_at + SECONDS_MS:
+    # With failing links or VMs, a version may take up to SECONDS_MS to be in force everywhere.
+    while not _is_leaving_everywhere(fleet) and fleet.clock.now() < accepted_at + SECONDS_MS:
         await fleet.clock.async_sleep(100)
     fleet.record.leaving_ms["e1"] = fleet.clock.now()
-    await scene.async_recover()
+    await scenario.async_recover()
 
 
-def _is_left_everywhere(fleet: Fleet) -> bool:
+def _is_leaving_everywhere(fleet: Fleet) -> bool:
     boards = [daemon.core.blackboard for daemon in fleet.live]
     return all("e1" in board.read(CONFIGURATION).leaving_upstreams for board in boards)
 
--- a/tests/faults/steps.py
+++ b/tests/faults/steps.py
@@ -1,4 +1,4 @@
-"""Steps of the paths: the effect of a daemon at which a fault comes."""
+"""Steps of the paths: the effects of a daemon at which a fault is applied."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """The n-th effect that matches, counted from the beginning of the path's work."""
+    """The n-th matching effect, counted from the start of the path's work."""
 
     name: str
     matches: Matches
@@ -21,12 +21,12 @@
 
 
 def match_call(name: str, *, done: bool = False) -> Matches:
-    """Match a call by its name, before its effect or after it."""
+    """Match a call by its name, before or after its effect."""
     return lambda effect: effect.name == name and effect.done == done
 
 
 def match_write(marker: bytes, *, done: bool = False) -> Matches:
-    """Match a write of rows whose key or value holds a text."""
+    """Match a write of rows whose key or value contains a text."""
 
     def matches(effect: Effect) -> bool:
         if effect.name != "async_write" or effect.done != done:
@@ -40,7 +40,7 @@
 
 
 def match_put(part: str, *, done: bool = False) -> Matches:
-    """Match an object by a part of its name."""
+    """Match the write of an object by a part of its name."""
 
     def matches(effect: Effect) -> bool:
         return (
--- a/tests/faults/test_checker.py
+++ b/tests/faults/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker catches planted violations, and passes a record without any."""
+"""The checker finds planted violations and passes a record without any."""
 
 from collections.abc import Callable
 
@@ -25,7 +25,7 @@
     )
 
 
-def test_passes_a_clean_record() -> None:
+def test_clean_record_passes() -> None:
     assert find_violations(make_clean(), LIMITS) == []
 
 
@@ -51,7 +51,7 @@
         (lambda r: r.runs.append(Run(3001, "e2", "r5", True)), Invariant.LEAVING_GETS_NO_WORK),
     ],
 )
-def test_catches_a_planted_violation(plant: Plant, invariant: Invariant) -> None:
+def test_planted_violation_is_found(plant: Plant, invariant: Invariant) -> None:
     record = make_clean()
     plant(record)
     found = {violation.invariant for violation in find_violations(record, LIMITS)}
--- a/tests/faults/test_matrix.py
+++ b/tests/faults/test_matrix.py
@@ -1,9 +1,8 @@
-"""Every fault at every step of every path, each judged by the shared checker.
+"""Every fault at every step of every path, checked against the invariants.
 
-Story of the table: callers, operators and the landlord go about their work while, at the very
-moment that a step of it takes place, one fault of the brief comes to the VM that takes the step.
-A user must see no broken promise, and everything accepted or sent must come to its end once the
-fault has healed. The cell's id reads path, step, fault.
+One fault is applied to the VM that reaches a step, while callers, operators and the platform work.
+No invariant may be violated, and everything accepted or sent must end once the fault is over.
+The id of a cell is path, step, fault.
 """
 
 import itertools
@@ -13,7 +12,7 @@
 
 from standins.checking.checker import find_violations
 from tests.faults.fleet import CUSTOMERS, Fleet
-from tests.faults.injection import Fault, Scene
+from tests.faults.injection import Fault, FaultScenario
 from tests.faults.paths import PATHS, Path
 from tests.faults.steps import Step
 from tests.helpers.virtual_time import run_virtual
@@ -27,34 +26,34 @@
     ]
 
 
-async def async_judge(path: Path, faults: list[tuple[Step, Fault]]) -> Scene:
+async def async_run_cell(path: Path, faults: list[tuple[Step, Fault]]) -> FaultScenario:
     fleet = Fleet()
     try:
         await fleet.async_start()
-        scene = Scene(fleet)
+        scenario = FaultScenario(fleet)
         for step, fault in faults:
-            scene.arm(step, fault)
-        await path.work(scene)
-        await scene.async_finish()
-        await scene.async_recover()
+            scenario.arm(step, fault)
+        await path.work(scenario)
+        await scenario.async_finish()
+        await scenario.async_recover()
         for job in fleet.jobs:
             await fleet.async_wait_job(job)
         record = await fleet.async_collect()
         violations = find_violations(record, CUSTOMERS)
         assert not violations, f"{violations}, refused: {fleet.refused}"
-        assert not fleet.unended, "accepted items did not end"
-        assert not fleet.cut, "a request was cut"
-        assert scene.patched.count(True) <= 1, "two operators patched one version"
-        return scene
+        assert not fleet.unfinished_jobs, "accepted items did not end"
+        assert not fleet.cut_calls, "a request was cut"
+        assert scenario.patched.count(True) <= 1, "two operators patched one version"
+        return scenario
     finally:
         await fleet.async_close()
 
 
 @pytest.mark.parametrize(("path", "step", "fault"), list_cells())
-def test_holds_all_promises(path: Path, step: Step, fault: Fault) -> None:
+def test_invariants_hold_under_fault(path: Path, step: Step, fault: Fault) -> None:
     logging.disable(logging.CRITICAL)
     try:
-        scene = run_virtual(async_judge(path, [(step, fault)]))
+        scenario = run_virtual(async_run_cell(path, [(step, fault)]))
     finally:
         logging.disable(logging.NOTSET)
-    assert scene.fired == [step.name], "the step never took place"
+    assert scenario.fired == [step.name], "the step never took place"
--- a/tests/faults/test_pairs.py
+++ b/tests/faults/test_pairs.py
@@ -1,8 +1,8 @@
-"""Two faults in one path, for all that must run exactly or at most once.
+"""Two faults in one path, for work that must run exactly once or at most once.
 
-Story of the table: a booking or a digest job has met one fault of the brief, and while the fleet
-still works at it a second one comes, at a later step or the next of the same kind. A user must see
-no second ground and no second or lost summary. The pairs are drawn by a fixed seed.
+A booking or batch job meets a fault, and then a second one at the same or a later step while the
+fleet still recovers. No ground may be booked twice and no batch result lost or duplicated. The pairs
+are drawn with a fixed seed.
 """
 
 import logging
@@ -22,12 +22,12 @@
 )
 from tests.faults.paths import PATHS, Path
 from tests.faults.steps import Step
-from tests.faults.test_matrix import async_judge
+from tests.faults.test_matrix import async_run_cell
 from tests.helpers.virtual_time import run_virtual
 
 SEED: Final = 6
 PAIRS: Final = 30
-SECOND: Final[dict[str, Fault]] = {
+SECOND_FAULTS: Final[dict[str, Fault]] = {
     "vm_killed": kill_vm,
     "vm_paused_past_its_lease": pause_vm,
     "store_down_60_s": stop_store,
@@ -43,11 +43,11 @@
     for path in PATHS:
         if path.name not in ("booking", "batch"):
             continue
-        wanted = len(cells) + PAIRS
-        while len(cells) < wanted:
+        target_count = len(cells) + PAIRS
+        while len(cells) < target_count:
             first, then = sorted(rng.choices(range(len(path.steps)), k=2))
             one, fault = rng.choice(sorted(path.faults.items()))
-            two, second = rng.choice(sorted(SECOND.items()))
+            two, second = rng.choice(sorted(SECOND_FAULTS.items()))
             steps = path.steps[first], path.steps[then]
             name = f"{path.name}-{steps[0].name}-{one}-then-{steps[1].name}-{two}"
             faults = [(steps[0], fault), (steps[1], second)]
@@ -56,10 +56,10 @@
 
 
 @pytest.mark.parametrize(("path", "faults"), list_pairs())
-def test_holds_all_promises_under_two_faults(path: Path, faults: list[tuple[Step, Fault]]) -> None:
+def test_invariants_hold_under_two_faults(path: Path, faults: list[tuple[Step, Fault]]) -> None:
     logging.disable(logging.CRITICAL)
     try:
-        scene = run_virtual(async_judge(path, faults))
+        scenario = run_virtual(async_run_cell(path, faults))
     finally:
         logging.disable(logging.NOTSET)
-    assert scene.fired[:1] == [faults[0][0].name], "the first step never took place"
+    assert scenario.fired[:1] == [faults[0][0].name], "the first step never took place"
--- a/tests/faults/test_planted.py
+++ b/tests/faults/test_planted.py
@@ -1,4 +1,4 @@
-"""The matrix finds faults that are planted in the components."""
+"""The matrix finds faults that are planted in components."""
 
 import logging
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 from goldcreststair.components.claims.models import AnswerCode
 from goldcreststair.components.limits.fleet import FleetLimits
 from tests.faults.paths import PATHS
-from tests.faults.test_matrix import async_judge
+from tests.faults.test_matrix import async_run_cell
 from tests.helpers.virtual_time import run_virtual
 
 
@@ -43,7 +43,7 @@
         (admit_everything, "limits", None, None, "ADMITTED_WITHIN_LIMIT"),
     ],
 )
-def test_finds_a_planted_fault(
+def test_planted_fault_is_found(
     monkeypatch: pytest.MonkeyPatch,
     plant: Callable[[pytest.MonkeyPatch], None],
     path: str,
@@ -51,13 +51,15 @@
     fault: str | None,
     message: str,
 ) -> None:
-    """A ground is booked twice, or a customer gets more than its rate, through a planted fault."""
+    """A planted fault books a ground twice or admits a customer above its rate."""
     plant(monkeypatch)
-    taken = next(known for known in PATHS if known.name == path)
-    faults = [(known, taken.faults[fault]) for known in taken.steps if fault and known.name == step]
+    chosen = next(known for known in PATHS if known.name == path)
+    faults = [
+        (known, chosen.faults[fault]) for known in chosen.steps if fault and known.name == step
+    ]
     logging.disable(logging.CRITICAL)
     try:
         with pytest.raises(AssertionError, match=message):
-            run_virtual(async_judge(taken, faults))
+            run_virtual(async_run_cell(chosen, faults))
     finally:
         logging.disable(logging.NOTSET)
