--- a/tests/golden/session.py
+++ b/tests/golden/session.py
@@ -1,4 +1,4 @@
-"""Drives real processes through one session and compares its transcript with a golden file."""
+"""Records the transcript of a session with real processes and compares it with a golden file."""
 
 import dataclasses
 import os
@@ -27,12 +27,12 @@
     ("time", re.compile(r'(?<=_at": )\d+|(?<=_at":)\d+|(?<=utc_s":)[\d.]+|(?<=taken_ms":)\d+')),
     ("port", re.compile(r'(?<=_port":)\d+')),
 )
-"""What differs from run to run: each kind of name is numbered by its first appearance."""
-UNNUMBERED: Final = ("time", "port")
+"""Texts that differ between runs; each kind is numbered in the order of first appearance."""
+UNNUMBERED_KINDS: Final = ("time", "port")
 
 
 class Session:
-    """One transcript; ids and addresses are numbered by their first appearance."""
+    """One transcript; ids and addresses are numbered in the order of first appearance."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -40,7 +40,7 @@
         self._names: dict[str, str] = {}
 
     def note(self, text: str) -> None:
-        """Add what happens outside of calls, as a fault being switched on."""
+        """Add an event other than a call, such as a fault that is applied."""
         self._add(f"-- {text}")
 
     def call(
@@ -73,7 +73,7 @@
             self._add(f"    {line}".rstrip())
 
     def add_cut_answer(self, who: str, answer: HttpResponse) -> None:
-        """Add a streamed answer whose count of tokens may vary; they must be whole and in order."""
+        """Add a streamed answer of any number of tokens, which must be complete and in order."""
         text = KEEP_ALIVE.sub(b"", answer.body).decode()
         indices = [int(index) for index in TOKEN.findall(text)]
         assert indices == list(range(len(indices)))
@@ -96,7 +96,7 @@
         self._lines.append(line)
 
     def _name(self, kind: str, text: str) -> str:
-        if kind in UNNUMBERED:
+        if kind in UNNUMBERED_KINDS:
             return f"<{kind}>"
         if text not in self._names:
             number = 1 + sum(1 for name in self._names.values() if name.startswith(f"<{kind} "))
--- a/tests/golden/test_batch_sessions.py
+++ b/tests/golden/test_batch_sessions.py
@@ -1,4 +1,4 @@
-"""Whole sessions of batch jobs, byte for byte."""
+"""Sessions of batch jobs, compared byte for byte."""
 
 import orjson
 
@@ -46,7 +46,7 @@
 def test_cancelled_batch_session() -> None:
     """A job is cancelled while the engines work on its items.
 
-    The job must end as cancelled with one state an item, and the engines must stop.
+    The job must end as cancelled with one state per item, and the engines must stop.
     """
     with start_fleet() as fleet:
         session = Session(fleet)
--- a/tests/golden/test_failing_sessions.py
+++ b/tests/golden/test_failing_sessions.py
@@ -1,4 +1,4 @@
-"""Whole sessions in which something is taken away, byte for byte."""
+"""Sessions in which a key, an answer, a VM or an upstream is lost, compared byte for byte."""
 
 import signal
 
@@ -28,7 +28,7 @@
 
 
 def test_withdrawn_key_session() -> None:
-    """A key is withdrawn while its holder reads a stream that is far from its end.
+    """A key is withdrawn while its customer reads a stream that is far from its end.
 
     The stream must end with the reason and without an end marker, the engines stop working on
     it, and the key is refused from then on; another customer's key still works.
@@ -57,8 +57,8 @@
 def test_lost_booking_answer_session() -> None:
     """A ground is booked, the service's answer is lost, and the caller sends the booking again.
 
-    It may have run, so the caller must hear `outcome_unknown` both times and the service must
-    have run it once. A booking with an answer is answered the same again, without a run.
+    The booking may have run, so the caller must get `outcome_unknown` both times and the service
+    must have run it once. A booking with a known answer is answered the same again, without a run.
     """
     with start_fleet() as fleet:
         session = Session(fleet)
@@ -77,10 +77,10 @@
 
 
 def test_leaving_vm_session() -> None:
-    """A VM is told to stop while a caller reads a stream from it.
+    """A VM is stopped while a caller reads a stream from it.
 
-    It must say that it is not ready, callers must no longer be sent to it, the stream must end
-    whole, and the process ends by itself with status 0.
+    It must report that it is not ready, its address must no longer be returned to callers, the
+    stream must be complete, and the process must end by itself with status 0.
     """
     with start_fleet(daemons=2, daemon_flags={"drain-ms": "24000"}) as fleet:
         session = Session(fleet)
@@ -105,7 +105,7 @@
 def test_leaving_upstream_session() -> None:
     """An operator takes an upstream out of service while it runs a stream.
 
-    The stream must end whole, and requests that come after the patch must run elsewhere.
+    The stream must be complete, and requests sent after the patch must run elsewhere.
     """
     with start_fleet() as fleet:
         session = Session(fleet)
--- a/tests/golden/test_operator_sessions.py
+++ b/tests/golden/test_operator_sessions.py
@@ -1,4 +1,4 @@
-"""Whole sessions of operators who only read, byte for byte."""
+"""Sessions of operators who only read, compared byte for byte."""
 
 from tests.golden.session import Session
 from tests.golden.worlds import DESIGNERS, OPERATOR, PATH_CHAT, make_chat, start_fleet
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -1,4 +1,4 @@
-"""Whole sessions through real processes, byte for byte."""
+"""Sessions with real processes, compared byte for byte."""
 
 from collections.abc import Iterator
 
--- a/tests/golden/worlds.py
+++ b/tests/golden/worlds.py
@@ -1,4 +1,4 @@
-"""What sessions share: a fleet's start, open streams, and what upstreams saw."""
+"""Helpers of the sessions: a fleet, open streams, and the runs of upstreams."""
 
 import contextlib
 import http.client
@@ -17,7 +17,7 @@
 OPERATOR: Final = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
 PATH_CHAT: Final = "/v1/chat/completions"
 WAIT_S: Final = 60.0
-RAN: Final = re.compile(r"^POST /v1/\S*completions\n(?:[^\n]+\n)*?X-Request-Id: (\w+)", re.M)
+ENGINE_RUN: Final = re.compile(r"^POST /v1/\S*completions\n(?:[^\n]+\n)*?X-Request-Id: (\w+)", re.M)
 
 
 def make_chat(text: str, tokens: int = 4, **more: Any) -> dict[str, Any]:
@@ -28,7 +28,7 @@
 
 @contextlib.contextmanager
 def start_fleet(**plan: Any) -> Iterator[Fleet]:
-    """Start a fleet with a configuration; ends it afterwards."""
+    """Start a fleet with a configuration; stops it on exit."""
     with Fleet(FleetPlan(**{"daemons": 1, "engines": 2, "step_base_ms": 2.0, **plan})) as fleet:
         patched = fleet.patch_configuration(0, fleet.describe_configuration(CUSTOMERS))
         assert patched.status == 200
@@ -46,9 +46,9 @@
 
 
 def read_runs(fleet: Fleet, upstream: str) -> set[str]:
-    """Return the ids of the requests that an engine was asked to run from their start."""
+    """Return the ids of the requests that an engine received from their start."""
     received = send_request(fleet.engines[upstream], "GET", "/faults").body.decode()
-    return set(RAN.findall(received))
+    return set(ENGINE_RUN.findall(received))
 
 
 def count_running(fleet: Fleet) -> int:
@@ -57,7 +57,7 @@
 
 
 def read_service_runs(fleet: Fleet) -> list[int]:
-    """Return how often the plain service ran each request it ever got."""
+    """Return the number of runs of each request that the plain service received."""
     runs = send_request(fleet.service_address, "GET", "/faults").json()["runs"]
     return list(runs.values())
 
@@ -67,11 +67,11 @@
     """A streamed answer that is still being read."""
 
     response: http.client.HTTPResponse
-    begun: bytes
+    first_data: bytes
 
     def finish(self) -> HttpResponse:
-        """Read the rest and return the whole answer."""
-        body = self.begun + self.response.read()
+        """Read the rest and return the complete response."""
+        body = self.first_data + self.response.read()
         return HttpResponse(self.response.status, dict(self.response.getheaders()), body)
 
 
