--- a/standins/measure/bare_relay.py
+++ b/standins/measure/bare_relay.py
@@ -1,4 +1,4 @@
-"""A bare tornado relay: what the daemon's relaying is compared with."""
+"""Minimal tornado relay, the baseline for the daemon's relaying."""
 
 import asyncio
 
@@ -12,10 +12,10 @@
 
 
 class RelayHandler(RequestHandler):
-    """Passes a request on and its answer back, piece by piece."""
+    """Forwards a request and streams its answer back."""
 
     def initialize(self, upstreams: list[str]) -> None:
-        """Keep the upstreams."""
+        """Set the upstreams."""
         self.upstreams = upstreams
 
     async def post(self) -> None:
--- a/standins/measure/batch_policies.py
+++ b/standins/measure/batch_policies.py
@@ -1,4 +1,4 @@
-"""The policies that the batch measurement compares."""
+"""Policies that the batch measurement compares."""
 
 from collections.abc import Callable
 
@@ -11,10 +11,10 @@
 
 
 class FixedAllowance(AllowanceController):
-    """A share that neither rises nor yields."""
+    """Fixed limit that neither rises nor is reduced for online requests."""
 
     def __init__(self, clock: Clock, share: int) -> None:
-        """Hold `share` streams."""
+        """Allow `share` streams."""
         super().__init__(clock, AllowanceParameters())
         self._share = share
 
@@ -30,10 +30,10 @@
 
 
 class Oracle(AllowanceController):
-    """Knows the bursts before they come and each online request in the engine at once."""
+    """Policy that knows the bursts in advance and every online request in the engine at once."""
 
     def __init__(self, clock: Clock, engine: EngineModel, burst_share: int, reserve: int) -> None:
-        """Hold `burst_share` streams in bursts, else all but `reserve` of the free slots."""
+        """Allow `burst_share` streams in bursts, else all free slots except `reserve`."""
         super().__init__(clock, AllowanceParameters())
         self._engine = engine
         self._burst_share = burst_share
@@ -42,7 +42,7 @@
 
     @property
     def limit(self) -> int:
-        """Slots that online leaves, or the share of a burst."""
+        """Slots not used online, at most the share of a burst."""
         held = [*self._engine._running, *self._engine._queue]
         online = sum(1 for one in held if one.request_id.startswith("online-"))
         free = max(0, self._engine.parameters.max_running - online - self._reserve)
@@ -53,12 +53,12 @@
 
     @property
     def bound(self) -> int:
-        """The same."""
+        """The same as `limit`."""
         return self.limit
 
 
 def make_adaptive(clock: Clock, _: EngineModel) -> AllowanceController:
-    """Return what the daemon uses."""
+    """Return the policy of the daemon."""
     return AllowanceController(clock, AllowanceParameters())
 
 
--- a/standins/measure/excess.py
+++ b/standins/measure/excess.py
@@ -1,4 +1,4 @@
-"""How far admissions exceed a rate and a burst."""
+"""Computes by how much admissions exceed a rate and a burst."""
 
 from collections.abc import Sequence
 
@@ -11,8 +11,8 @@
     """Return the worst excess over every interval, in tokens; at most 0 if the bound holds.
 
     With the k-th admission at t(k), the interval from i to j holds j - i + 1 of them, so the lowest
-    k - rate x t(k) so far gives the worst interval that ends here: one pass. The clocks of homes
-    may be fast by `drift`, and times are rounded to milliseconds.
+    k - rate x t(k) so far gives the worst interval that ends here: one pass. The clocks of
+    coordinators may be fast by `drift`, and times are rounded to milliseconds.
 
     >>> find_excess([0, 0, 0], 1, 2) > 0, find_excess([0, 0, 1000], 1, 2) > 0
     (True, False)
--- a/standins/measure/fast_engine.py
+++ b/standins/measure/fast_engine.py
@@ -1,4 +1,4 @@
-"""An upstream that streams as fast as it can, to measure what is between it and a caller."""
+"""Upstream that streams without computing, to measure the relaying between it and a caller."""
 
 import asyncio
 
--- a/standins/measure/overload.py
+++ b/standins/measure/overload.py
@@ -18,7 +18,7 @@
 from standins.measure.overload_figures import Figures
 from standins.measure.overload_loads import LOADS, Load, draw_record
 from standins.measure.overload_play import measure
-from standins.measure.overload_policies import POLICIES, WHOLE, Policy
+from standins.measure.overload_policies import ALL_MECHANISMS, POLICIES, Policy
 from standins.measure.paired import compare
 
 app = App(help=__doc__)
@@ -114,7 +114,7 @@
     is a bound, see `overload_bound`.
     """
     chosen = [each for each in LOADS if load in each.name]
-    policies = POLICIES if ablation else (WHOLE,)
+    policies = POLICIES if ablation else (ALL_MECHANISMS,)
     numbers = range(first_seed, first_seed + seeds)
     rows: dict[str, list[float]] = {}
     with ProcessPoolExecutor(processes) as pool:
--- a/standins/measure/overload_play.py
+++ b/standins/measure/overload_play.py
@@ -21,7 +21,7 @@
     Request,
     draw_record,
 )
-from standins.measure.overload_policies import Policy, play_by
+from standins.measure.overload_policies import Policy, apply_policy
 from standins.run_engines import RunEngine
 from standins.virtual_time import run_virtual
 
@@ -265,5 +265,5 @@
         finally:
             await play.fleet.async_close()
 
-    with play_by(policy):
+    with apply_policy(policy):
         return run_virtual(async_run())
--- a/standins/measure/overload_policies.py
+++ b/standins/measure/overload_policies.py
@@ -1,4 +1,4 @@
-"""The policies that the measure of overloads compares: real daemons with other settings."""
+"""Policies that the overload measurement compares: real daemons with mechanisms disabled."""
 
 from collections.abc import Iterator
 from contextlib import ExitStack, contextmanager
@@ -18,12 +18,12 @@
 from goldcreststair.components.placement import admission, controller
 
 QUEUED_ITEMS: Final = 8
-"""Items that may wait at each engine for its slots, where they queue as requests do."""
+"""Items that may wait at each engine for a slot when they queue like requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class Switch:
-    """One mechanism, and the value of its constant or function at which it does nothing."""
+    """One mechanism, and the value of its constant or function that disables it."""
 
     name: str
     owner: ModuleType | type
@@ -44,28 +44,28 @@
 
 
 def rank_by_arrival(ranked: registry.RankedItem) -> tuple[int, int]:
-    """Rank an item by when its job came; all jobs have the same time."""
+    """Rank an item by the arrival of its job; valid as all jobs have the same time limit."""
     return ranked.job.due_at, ranked.item.number
 
 
-def yield_none(_: controller.PlacementController, name: str, session: str) -> int:
-    """Let no run give way."""
+def count_none_to_preempt(_: controller.PlacementController, name: str, session: str) -> int:
+    """Preempt no run."""
     return 0
 
 
-def choose_none(_: controller.PlacementController, name: str) -> None:
-    """Let nobody give way."""
+def choose_no_daemon(_: controller.PlacementController, name: str) -> None:
+    """Choose no daemon to preempt."""
 
 
-def hear_no_silence(
+def ignore_silence(
     _: silence_detector.SilenceDetector, silence: silence_detector.SilenceVerdict
 ) -> silence_detector.SilenceVerdict:
-    """Take no wait for silence: where everything queues, many are longer than any silence."""
+    """Treat no wait as silence: when everything queues, waits exceed any silence limit."""
     return silence_detector.SilenceVerdict.NONE
 
 
-def find_none_silent(sink: runner.ItemSink, now: int, counted_from: int) -> bool:
-    """Take no wait of an item for silence."""
+def ignore_item_silence(sink: runner.ItemSink, now: int, counted_from: int) -> bool:
+    """Treat no wait of an item as silence."""
     return False
 
 
@@ -74,44 +74,46 @@
     Switch("order of items", registry, "_rank", rank_by_arrival),
     Switch("batch stays out of bursts", controller, "BATCH_FREE_SHARE", 0.0),
     Switch("slots kept from batch", controller, "BATCH_RESERVE", -QUEUED_ITEMS),
-    Switch("giving way", controller.PlacementController, "count_runs_to_preempt", yield_none),
+    Switch(
+        "giving way", controller.PlacementController, "count_runs_to_preempt", count_none_to_preempt
+    ),
     Switch(
         "giving way at once",
         controller.PlacementController,
         "choose_daemon_to_preempt",
-        choose_none,
+        choose_no_daemon,
     ),
     Switch("late callers sent away", admission, "FIRST_ATTEMPT_SHARE", 2.0),
     Switch(
         "leaving silent requests",
         silence_detector.SilenceDetector,
         "_require_alternative",
-        hear_no_silence,
+        ignore_silence,
     ),
-    Switch("leaving silent items", runner, "_is_silent", find_none_silent),
+    Switch("leaving silent items", runner, "_is_silent", ignore_item_silence),
 )
-"""Requests and items queue at the engines, first come, first served, and nothing gives way."""
+"""Requests and items queue at the engines, first come, first served, without preemption."""
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """A way to run the fleet: what is turned off."""
+    """A set of mechanisms that are disabled in a run."""
 
     name: str
     off: tuple[Switch, ...] = ()
 
 
-WHOLE: Final = Policy("all mechanisms")
+ALL_MECHANISMS: Final = Policy("all mechanisms")
 POLICIES: Final = (
-    WHOLE,
+    ALL_MECHANISMS,
     *(Policy(f"without: {switch.name}", (switch,)) for switch in SWITCHES),
     Policy("first come, first served", FIRST_COME),
 )
 
 
 @contextmanager
-def play_by(policy: Policy) -> Iterator[None]:
-    """Play by a policy."""
+def apply_policy(policy: Policy) -> Iterator[None]:
+    """Disable the mechanisms of a policy, and restore them on exit."""
     with ExitStack() as stack:
         for switch in policy.off:
             before = getattr(switch.owner, switch.attribute)
--- a/standins/measure/paired.py
+++ b/standins/measure/paired.py
@@ -1,4 +1,4 @@
-"""Differences of pairs, with an interval by bootstrap."""
+"""Mean differences of pairs with a bootstrap confidence interval."""
 
 import random
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """A mean difference, and the interval that it lies in."""
+    """A mean difference and its confidence interval."""
 
     mean: float
     low: float
@@ -20,14 +20,14 @@
 
     @property
     def is_clear(self) -> bool:
-        """Whether the interval leaves out zero."""
+        """Whether the interval excludes zero."""
         return self.low > 0 or self.high < 0
 
 
 def compare(
     first: Sequence[float], second: Sequence[float], seed: int = 1, resamples: int = RESAMPLES
 ) -> Difference:
-    """Return by how much the first of each pair is more than the second."""
+    """Return the mean of `first` minus `second` over all pairs."""
     differences = [a - b for a, b in zip(first, second, strict=True)]
     chance, count = random.Random(seed), len(differences)
     means = sorted(sum(chance.choices(differences, k=count)) / count for _ in range(resamples))
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""The measure of overloads: it counts what callers got, and shows what a mechanism is worth."""
+"""The overload measurement: it counts results of callers and the effect of each mechanism."""
 
 import random
 from dataclasses import replace
@@ -10,13 +10,13 @@
 from standins.measure.overload_loads import LOADS, Load, Record, draw_record
 from standins.measure.overload_play import measure
 from standins.measure.overload_policies import (
+    ALL_MECHANISMS,
     FIRST_COME,
     POLICIES,
     SWITCHES,
-    WHOLE,
     Policy,
     Switch,
-    play_by,
+    apply_policy,
 )
 
 ALL_VMS_LOST = next(load for load in LOADS if load.name == "all VMs lost at once")
@@ -29,10 +29,10 @@
 
 
 @pytest.mark.parametrize("policy", POLICIES, ids=lambda policy: policy.name)
-def test_what_a_policy_turns_off_is_on_again_after_it(policy: Policy) -> None:
-    """A mechanism that stays off would be off for all later rows."""
+def test_policy_restores_disabled_mechanisms(policy: Policy) -> None:
+    """A mechanism that stays disabled would be missing in all later rows."""
     before = [getattr(switch.owner, switch.attribute) for switch in policy.off]
-    with play_by(policy):
+    with apply_policy(policy):
         assert all(getattr(s.owner, s.attribute) == s.off for s in policy.off)
     assert [getattr(switch.owner, switch.attribute) for switch in policy.off] == before
 
@@ -46,14 +46,14 @@
         (Figures(items=10, items_in_time=5, items_late=5), 0.55),
     ],
 )
-def test_worth_is_the_share_of_what_was_owed(figures: Figures, worth: float) -> None:
+def test_worth_is_share_of_worth_possible(figures: Figures, worth: float) -> None:
     assert figures.worth == pytest.approx(worth)
 
 
 def test_saved_progress_is_worth_something_when_all_vms_are_lost() -> None:
-    """All VMs lost power for a second: what items had brought was run again, beside new jobs."""
+    """After all VMs lose power for a second, unsaved progress is run again beside new jobs."""
     switch = next(switch for switch in SWITCHES if switch.name == "progress saved")
-    kept = measure(ALL_VMS_LOST, 1, WHOLE)
+    kept = measure(ALL_VMS_LOST, 1, ALL_MECHANISMS)
     lost = measure(ALL_VMS_LOST, 1, Policy("without", (switch,)))
     assert kept.wasted < lost.wasted
     assert kept.requests > 500 and kept.items > 100
@@ -62,11 +62,11 @@
 
 
 def test_plays_of_one_seed_agree_to_the_last_event() -> None:
-    """Which items gave way went by where in memory their runs lay: no two plays were the same."""
+    """If preemption depended on the memory addresses of runs, no two runs would be the same."""
     load = replace(ALL_VMS_LOST, seconds=20)
-    first = measure(load, 1, WHOLE)
+    first = measure(load, 1, ALL_MECHANISMS)
     garbage = _scatter_memory()
-    again = measure(load, 1, WHOLE)
+    again = measure(load, 1, ALL_MECHANISMS)
     del garbage
     assert len(first.outcomes) > 300 and len(first.listed) > 20
     assert again.outcomes == first.outcomes
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("policy", POLICIES, ids=lambda policy: policy.name)
 def test_every_policy_meets_the_same_callers_items_and_faults(policy: Policy) -> None:
-    """Drawn as the play went, later callers and items hung on how long earlier ones were served."""
+    """Drawn during the run, later callers and items would depend on how earlier ones were served."""
     figures = measure(SHORT, 3, policy)
     assert sorted(figures.came) == _expect(draw_record(SHORT, 3))
     assert {"r1", "job1", "VM lost 5", "VM back 5"} <= {came.name for came in figures.came}
@@ -93,8 +93,8 @@
 @pytest.mark.parametrize(
     "other", [replace(SHORT, jobs_per_s=3.0), replace(SHORT, vms=2, engines=2)], ids=str
 )
-def test_requests_do_not_hang_on_jobs_or_the_fleet(other: Load) -> None:
-    """One generator for all would give other requests with each job more."""
+def test_requests_are_independent_of_jobs_and_fleet(other: Load) -> None:
+    """A shared generator would change the requests with each additional job."""
     assert draw_record(other, 1).requests == draw_record(SHORT, 1).requests
 
 
--- a/tests/test_overload_bound.py
+++ b/tests/test_overload_bound.py
@@ -1,4 +1,4 @@
-"""The bound of the measure of overloads: slot time against what is owed in time."""
+"""The upper bound of the overload measurement: slot time against work due in time."""
 
 import random
 
@@ -39,7 +39,7 @@
 
 
 def test_no_order_of_service_gives_more_slot_time() -> None:
-    """An order that wastes slots would give a bound that some policy beats."""
+    """An order that wastes slots would give a bound that a policy could exceed."""
     chance = random.Random(5)
     for _ in range(200):
         begins = sorted(chance.randrange(8) for _ in range(7))
@@ -48,7 +48,7 @@
 
 
 def _match(claims: list[Claim]) -> int:
-    """Return how many claims of 1 ms get a ms of their own, by augmenting paths."""
+    """Return how many claims of 1 ms each get their own ms, by augmenting paths."""
     taken: dict[int, Claim] = {}
 
     def place(claim: Claim, seen: set[int]) -> bool:
