--- a/tests/components/configuration/test_propagation.py
+++ b/tests/components/configuration/test_propagation.py
@@ -221,7 +221,7 @@
             apply_copy(copy)
 
         follower._apply_copy = spy  # type: ignore[method-assign]
-        fleet.network.heal()
+        fleet.network.clear_cuts()
         await fleet.async_wait(lambda: read_version(isolated) == patches + 1, 11_000)
         assert sum(copy.row is not None for copy in seen) == whole_documents
         expected = daemons[0].core.blackboard.read(CONFIGURATION)
