--- a/goldcreststair/components/quotas/controller.py
+++ b/goldcreststair/components/quotas/controller.py
@@ -42,14 +42,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetShare:
-    """The part of the fleet that this daemon can reach."""
+    """The part of the fleet whose admitted requests this daemon knows of."""
 
-    reachable: int = 1
-    """Daemons that reported recently, this one included."""
+    responsive: int = 1
+    """Number of daemons, this one included, whose last beacon is at most a few beacon intervals
+    old."""
     members: int = 1
-    """Daemons that may be admitting requests, reachable or not."""
+    """Number of daemons that may be admitting requests, responsive or not."""
     agreed: bool = True
-    """Whether all reachable daemons report the same set of reachable daemons as this one."""
+    """Whether all responsive daemons report the same set of responsive daemons as this one."""
 
     @property
     def isolated(self) -> bool:
@@ -60,14 +61,14 @@
         # reaches exactly this set cannot overlap, so their shares add up to the whole quota. A
         # daemon outside such a set uses one share. A daemon that reaches all others counts what
         # each of them spends, whatever the others can reach.
-        return self.reachable < self.members and not self.agreed
+        return self.responsive < self.members and not self.agreed
 
     @property
     def fraction(self) -> float:
-        """The share of each quota that the reachable daemons may use together."""
-        # An unreachable daemon continues to use its share. Its share is counted as spent here, so
+        """The share of each quota that the responsive daemons may use together."""
+        # An unresponsive daemon continues to use its share. Its share is counted as spent here, so
         # that both sides of a network partition together stay within the quota.
-        return (1 if self.isolated else self.reachable) / max(self.reachable, self.members)
+        return (1 if self.isolated else self.responsive) / max(self.responsive, self.members)
 
 
 @dataclass(frozen=True, slots=True)
@@ -266,7 +267,7 @@
         bucket, share = self._buckets.get(key), self._share
         level = f"{bucket.level:.1f}" if bucket is not None else "unknown"
         isolated = ", each limited to its own share" if share.isolated else ""
-        reachable = f"{share.reachable} of {share.members} daemons reachable{isolated}"
+        reachable = f"{share.responsive} of {share.members} daemons reachable{isolated}"
         customer = self._customers.get(key)
         if customer is None:
             return f"level {level}, {reachable}"
--- a/tests/components/quotas/test_controller.py
+++ b/tests/components/quotas/test_controller.py
@@ -57,10 +57,10 @@
     clock = ManualClock()
     controller = make_controller(clock)
     controller.apply_counts("other", {KEY: AdmittedCount(100)})
-    controller.apply_share(FleetShare(reachable=1, members=2))
+    controller.apply_share(FleetShare(responsive=1, members=2))
     clock.advance(5_000)
     controller.apply_counts("other", {KEY: AdmittedCount(130)})
-    controller.apply_share(FleetShare(reachable=2, members=2))
+    controller.apply_share(FleetShare(responsive=2, members=2))
     assert drain(controller) == 10
     clock.advance(1_000)
     assert drain(controller) == 10
@@ -76,10 +76,10 @@
     controller = make_controller(clock)
     controller.apply_counts("other", {KEY: AdmittedCount(100)})
     clock.advance(UNRESPONSIVE_MS + 1)
-    controller.apply_share(FleetShare(reachable=1, members=2))
+    controller.apply_share(FleetShare(responsive=1, members=2))
     clock.advance(600)
     controller.apply_counts("other", {KEY: AdmittedCount(125)})
-    controller.apply_share(FleetShare(reachable=2, members=2))
+    controller.apply_share(FleetShare(responsive=2, members=2))
     # Its own 10 of the burst, less the 25 spent by the other, of which 10 + 3 had been withheld.
     assert drain(controller) == 0
     clock.advance(400)
@@ -94,7 +94,7 @@
     clock = ManualClock()
     controller = make_controller(clock)
     controller.apply_counts("other", {KEY: AdmittedCount(0)})
-    controller.apply_share(FleetShare(reachable=3, members=4, agreed=False))
+    controller.apply_share(FleetShare(responsive=3, members=4, agreed=False))
     controller.apply_counts("other", {KEY: AdmittedCount(3)})
     assert drain(controller) == 5
     clock.advance(1_000)
@@ -104,14 +104,14 @@
 def test_daemon_that_reaches_all_others_uses_the_whole_quota() -> None:
     clock = ManualClock()
     controller = make_controller(clock)
-    controller.apply_share(FleetShare(reachable=4, members=4, agreed=False))
+    controller.apply_share(FleetShare(responsive=4, members=4, agreed=False))
     assert drain(controller) == 20
 
 
 def test_unreachable_daemons_keep_their_share() -> None:
     clock = ManualClock()
     controller = make_controller(clock)
-    controller.apply_share(FleetShare(reachable=1, members=4))
+    controller.apply_share(FleetShare(responsive=1, members=4))
     assert drain(controller) == 5
     clock.advance(1_000)
     assert drain(controller) == 2
@@ -156,13 +156,13 @@
     """
     controller = QuotaController(ManualClock())
     large = CatalogueCustomer("large", 50.0, 60.0)
-    controller.apply_share(FleetShare(reachable=1, members=4))
+    controller.apply_share(FleetShare(responsive=1, members=4))
     controller.apply_customers({KEY: large})
     admitted = 0
     while controller.admit(large, KEY) is None:
         admitted += 1
     assert admitted == 5
-    controller.apply_share(FleetShare(reachable=4, members=4))
+    controller.apply_share(FleetShare(responsive=4, members=4))
     while controller.admit(large, KEY) is None:
         admitted += 1
     assert admitted == 20
@@ -190,7 +190,7 @@
     """
     clock = ManualClock()
     controller = make_controller(clock)
-    controller.apply_share(FleetShare(reachable=members, members=members))
+    controller.apply_share(FleetShare(responsive=members, members=members))
     seen_since = None if report_interval_ms is None else clock.now()
     count = 0
     while controller.admit(CLUB, KEY, seen_since) is None:
