--- a/tests/components/batch/test_failures.py
+++ b/tests/components/batch/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures of batch jobs; each ends with the checker of `BatchFleet`."""
+"""Batch jobs during failures; most tests end with `BatchFleet.async_check`."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -35,7 +35,7 @@
     run_virtual(async_test())
 
 
-def test_runs_a_job_over_the_fleet() -> None:
+def test_job_runs_to_completion() -> None:
     async def story(fleet: BatchFleet) -> None:
         manifest = (await fleet.async_submit(make_lines(300))).unwrap()
         assert (manifest.items, manifest.chunks) == (300, 3)
@@ -46,10 +46,10 @@
 
 
 def test_owner_lost_right_after_acknowledgement() -> None:
-    """The VM that accepted a job is lost right after its reply.
+    """A job is lost although its submit was acknowledged.
 
-    A caller must not lose a job it has an id for: manifest and chunks were committed before the
-    answer, so the next owners of the partitions find and run them.
+    A VM that owns chunks of the job is lost right after the reply. Manifest and chunks are
+    committed before the reply, so the next owners of the partitions find and run them.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -62,10 +62,10 @@
 
 
 def test_paused_chunk_owner_resumes() -> None:
-    """A chunk's owner is paused, another takes over and finishes, then the first wakes.
+    """A former chunk owner overwrites item states that the new owner committed.
 
-    The old owner does not know of its loss and commits its results. The commit is fenced, so the
-    states that the new owner committed do not change.
+    The owner is paused, and the chunk's partition moves to another VM, which finishes the chunk.
+    When the former owner resumes, it commits its own results. Fencing must reject that commit.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -86,9 +86,9 @@
 
 
 def test_vm_lost_with_assigned_items() -> None:
-    """The VM that runs assigned items is lost.
+    """A job never finishes because the VM that runs its assigned items is lost.
 
-    Their leases must expire and the items run on other VMs, or the job would never finish.
+    The leases on the items must expire, and other VMs must run the items.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -109,9 +109,10 @@
 
 
 def test_store_down_for_minutes_while_running() -> None:
-    """The store goes down while a job runs and comes back minutes later.
+    """A job stalls or loses results because the store is down for minutes while it runs.
 
-    Work goes on with what the VMs own; results wait in memory and are committed afterwards.
+    VMs must continue with the chunks that they own, keep results in memory and commit them when
+    the store is available again.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -131,9 +132,9 @@
 
 
 def test_store_down_at_submit_accepts_nothing() -> None:
-    """A job is submitted while the store is down.
+    """A job that was refused as not run because the store was down runs nevertheless.
 
-    "Not run" must be true: no manifest, nothing runs, and the resend after the outage is taken.
+    No item may run during the outage, and a resend after it must be accepted.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -151,9 +152,10 @@
 
 
 def test_chunks_without_manifest_never_run() -> None:
-    """The store goes away between the chunks and the manifest of a job.
+    """Items of a refused job run because its chunks were committed.
 
-    The caller was told "not run"; chunks without a manifest must not run, and are swept.
+    The store fails between the chunks and the manifest, so the caller gets "not run". Chunks
+    without a manifest must not run and must be swept.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -169,11 +171,11 @@
     run(story)
 
 
-def test_submit_whose_answers_stay_lost_is_not_called_not_run() -> None:
-    """The manifest's owner commits it, and no answer of it ever comes back.
+def test_submit_without_replies_has_unknown_outcome() -> None:
+    """A submit is refused as not run although its job runs.
 
-    "Not run" would be wrong, as the job runs; the caller is told that the outcome is unknown, and
-    a resend with the same key finds the job.
+    The manifest's owner commits the manifest, but all its replies are lost. The caller must get
+    an unknown outcome, and a resend with the same key must find the job.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -184,7 +186,7 @@
         for vm in ("vm1", "vm2"):
             links = fleet.cores[vm].get(PEERS)
             handle = links.handlers[RecordPut]  # type: ignore[attr-defined]
-            links.handlers[RecordPut] = partial(_async_lose, fleet, handle)  # type: ignore
+            links.handlers[RecordPut] = partial(_async_lose_reply, fleet, handle)  # type: ignore
         unknown = await fleet.async_submit(make_lines(10), key=key)
         assert unknown.unwrap_err().problem is BatchProblem.OUTCOME_UNKNOWN
         manifest = (await fleet.async_submit(make_lines(10), key=key, vm="vm1")).unwrap()
@@ -195,16 +197,19 @@
     run(story)
 
 
-async def _async_lose(fleet: BatchFleet, handle: Handler, sender: str, message: RecordPut) -> Any:
+async def _async_lose_reply(
+    fleet: BatchFleet, handle: Handler, sender: str, message: RecordPut
+) -> Any:
     if message.key.startswith("job/"):
         fleet.network.lose_answers += 1
     return await handle(sender, message)
 
 
-def test_answer_lost_after_effect_on_submit() -> None:
-    """The manifest is committed, its partition moves, and the commit's answer is lost.
+def test_reply_lost_after_manifest_commit() -> None:
+    """A job is accepted twice because the reply to its manifest's commit is lost.
 
-    The submit asks the new owner, which has the manifest: one job, accepted once.
+    The manifest is committed and its partition moves. The submit must ask the new owner, which
+    has the manifest, and return that one job.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -222,7 +227,7 @@
 
 
 def test_engine_dies_with_items_in_flight() -> None:
-    """An engine restarts and loses all that runs there; every item still ends done."""
+    """Items that run on an engine are lost when it crashes and restarts."""
 
     async def story(fleet: BatchFleet) -> None:
         manifest = (await fleet.async_submit(make_lines(200, tokens=40))).unwrap()
@@ -235,7 +240,7 @@
 
 
 class SteadyAllowance(AllowanceController):
-    """Lets batch run whatever the reports say."""
+    """Allows a fixed number of batch items, whatever the load reports say."""
 
     limit = bound = 64
 
@@ -243,7 +248,7 @@
 @pytest.mark.parametrize("begun", [False, True])
 @pytest.mark.parametrize("quiet_s", [20, 120])
 def test_slow_engines_lose_no_item(quiet_s: int, begun: bool) -> None:
-    """Items are run again, and end as failed, because their engines were slow for a while."""
+    """Items are run again or end as failed because their engines were slow for a while."""
 
     async def story(fleet: BatchFleet) -> None:
         fleet.set_pause(paused=not begun)
@@ -263,8 +268,8 @@
 
 
 @pytest.mark.parametrize(("max_running", "slow"), [(1, False), (1, True), (64, True)])
-def test_job_goes_on_where_little_ran_before(max_running: int, slow: bool) -> None:
-    """A job must not stall at engines that had run nothing, or one request, when it queued."""
+def test_job_continues_on_engines_without_throughput_history(max_running: int, slow: bool) -> None:
+    """A job stalls because its engines had run at most one request when its items queued."""
 
     async def story(fleet: BatchFleet) -> None:
         fleet.set_pause(paused=slow)
@@ -279,10 +284,10 @@
 
 @pytest.mark.parametrize("wait_ms", [0, 400, 900, 1500, 2500])
 def test_cancel_racing_completion(wait_ms: int) -> None:
-    """A job is cancelled while its items complete.
+    """Items change between done and cancelled, or still run, after their job is cancelled.
 
-    Each item ends either done or cancelled, and neither changes into the other afterwards;
-    nothing more is sent to the engines.
+    The job is cancelled while its items complete. Each item must end as done or cancelled and
+    stay so, and nothing more may be sent to the engines.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -301,10 +306,11 @@
     run(story)
 
 
-def test_resent_submit_gives_the_same_job() -> None:
-    """A caller sends its job twice at once, and once more later with other content.
+def test_resent_submit_returns_the_same_job() -> None:
+    """A resent submit creates a second job, or replaces the content of the first.
 
-    One job; the other content is refused by name and runs nothing.
+    A caller sends its job twice at once and later other content with the same key. The other
+    content must be refused with the job's id in the message, and must not run.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -326,9 +332,9 @@
 
 @pytest.mark.parametrize("poison", [1, 4])
 def test_poison_items_do_not_delay_the_rest(poison: int) -> None:
-    """Some items crash each engine that runs them.
+    """Items that crash each engine that runs them delay or fail the rest of their job.
 
-    They end quarantined after bounded runs; every other item ends done, the job soon.
+    They must be quarantined after at most 3 crashes each, and all other items must end as done.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -348,8 +354,8 @@
     run(story)
 
 
-def test_item_that_engines_reject_fails_alone() -> None:
-    """An item is bad in a way that only the engine sees; it fails, the others finish."""
+def test_item_rejected_by_engines_fails_alone() -> None:
+    """An item that only the engine can recognise as invalid makes other items fail."""
 
     async def story(fleet: BatchFleet) -> None:
         lines = make_lines(30)
@@ -363,7 +369,7 @@
 
 
 def test_results_delivered_twice() -> None:
-    """Replies to delivered results are lost, so dispatchers send the results again."""
+    """Items run again because replies to delivered results are lost and results are resent."""
 
     async def story(fleet: BatchFleet) -> None:
         manifest = (await fleet.async_submit(make_lines(300))).unwrap()
@@ -379,7 +385,7 @@
     run(story)
 
 
-def test_only_its_customer_sees_a_job() -> None:
+def test_job_is_visible_only_to_its_customer() -> None:
     async def story(fleet: BatchFleet) -> None:
         manifest = (await fleet.async_submit(make_lines(3))).unwrap()
         jobs = fleet.services["vm1"].jobs
@@ -405,10 +411,10 @@
     run(story)
 
 
-def test_items_no_upstream_takes_end_as_failed() -> None:
-    """Every engine refuses for as long as a job is kept.
+def test_items_refused_by_all_upstreams_end_as_failed() -> None:
+    """Items stay undone forever because every engine refuses them.
 
-    Its items must not stay undone for good: they end as failed, and their records can be swept.
+    At the end of the job's retention they must end as failed, so that their records can be swept.
     """
 
     async def story(fleet: BatchFleet) -> None:
--- a/tests/components/batch/test_handover.py
+++ b/tests/components/batch/test_handover.py
@@ -1,4 +1,4 @@
-"""What becomes of a job's parts when submits fail, owners change and VMs leave."""
+"""Chunks, items and objects of a job when submits fail, owners change and VMs leave."""
 
 from collections import Counter
 
@@ -10,7 +10,7 @@
 
 
 def test_duplicate_custom_id_is_refused_with_its_line() -> None:
-    """Two lines of a digest job carry the same id; their results could not be told apart."""
+    """Results cannot be assigned to lines because two lines of a job have the same id."""
 
     async def story(fleet: BatchFleet) -> None:
         lines = make_lines(300)
@@ -23,9 +23,10 @@
 
 
 def test_progress_asks_each_owner_once() -> None:
-    """The digest job's page is read while the job has a thousand chunks.
+    """Reading the progress of a job with many chunks sends a message per chunk.
 
-    A message a chunk took seconds and crowded the links; one an owner tells the same counts.
+    With a thousand chunks that took seconds and congested the links between VMs. One message per
+    owner returns the same counts.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -33,15 +34,15 @@
         sent = len(fleet.network.sent)
         progress = (await fleet.services["vm0"].jobs.async_describe("acme", manifest.job)).unwrap()
         assert sum(progress.counts.values()) == 128 * 20
-        asked = [m for who, _, m in fleet.network.sent[sent:] if who == "vm0"]
-        kinds = Counter(type(message).__name__ for message in asked)
+        requests = [m for who, _, m in fleet.network.sent[sent:] if who == "vm0"]
+        kinds = Counter(type(message).__name__ for message in requests)
         assert kinds["RecordGet"] <= 1 and kinds["ChunksGet"] == 2
 
     run(story)
 
 
 def test_progress_while_a_partition_moves() -> None:
-    """A partition changes its owner while a job's page is read; the page is still whole."""
+    """Progress lacks items because partitions change owners while it is read."""
 
     async def story(fleet: BatchFleet) -> None:
         manifest = (await fleet.async_submit(make_lines(128 * 12))).unwrap()
@@ -52,17 +53,18 @@
         for index, owner in enumerate(known_owners):
             if owner == "vm1":
                 world.move(index, "vm2")
-        asking = fleet.services["vm0"].jobs.async_describe("acme", manifest.job)
-        progress = (await asking).unwrap()
+        reading = fleet.services["vm0"].jobs.async_describe("acme", manifest.job)
+        progress = (await reading).unwrap()
         assert sum(progress.counts.values()) == 128 * 12
 
     run(story)
 
 
 def test_leaving_vm_returns_its_items_at_once() -> None:
-    """A VM is drained for the provider's maintenance while it runs long items.
+    """Items of a drained VM stall until their leases expire, 10 seconds after the VM has left.
 
-    Items kept until their leases expired would stall for 10 seconds after the VM left.
+    The VM is drained for the provider's maintenance while it runs long items. It must return
+    them during the drain.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -90,9 +92,10 @@
 
 
 def test_suspicion_outlives_the_owner_of_its_chunk() -> None:
-    """A poison item crashed an engine once; then its chunk's owner is lost.
+    """A poison item crashes more engines after each takeover of its chunk.
 
-    If the next owner started from zero, the item would crash more engines at each takeover.
+    The item crashed an engine once, then its chunk's owner is lost. The next owner must not
+    count its crashes from zero.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -121,10 +124,10 @@
     run(story)
 
 
-def test_objects_of_a_job_never_accepted_are_deleted() -> None:
-    """A submit fails before its manifest; its items would stay in the store for good.
+def test_objects_of_a_refused_job_are_deleted() -> None:
+    """Item objects of a submit that failed before its manifest stay in the store forever.
 
-    A resend that came in between uses objects of its own, so nothing of it is deleted.
+    A resend before the sweep uses its own objects, which must not be deleted.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -142,9 +145,10 @@
 
 
 def test_resend_keeps_the_chunks_of_a_failed_submit_from_the_sweep() -> None:
-    """A submit fails; an hour later its resend finds the chunks there, and the sweep comes.
+    """An accepted job lacks items because the sweep deleted chunks of its failed submit.
 
-    Swept between the resend's chunks and its manifest, an accepted job would lack items.
+    The resend finds these chunks almost an hour later. The sweep must not delete them between
+    the resend's chunks and its manifest.
     """
 
     async def story(fleet: BatchFleet) -> None:
@@ -164,9 +168,9 @@
 
 
 def test_item_quarantined_in_batch_is_refused_online() -> None:
-    """A poison prompt of a job is quarantined; a member then sends the same prompt online.
+    """A prompt quarantined in a batch job crashes engines again when it is sent online.
 
-    Known under another fingerprint there, it would crash engines all over again.
+    Batch and online requests with the same content must have the same fingerprint.
     """
 
     async def story(fleet: BatchFleet) -> None:
--- a/tests/components/batch/test_wire.py
+++ b/tests/components/batch/test_wire.py
@@ -1,4 +1,4 @@
-"""Messages survive the codec they travel in."""
+"""Serialisation of batch messages."""
 
 from typing import Any
 
@@ -32,6 +32,6 @@
         LotResult("chunk/j/f/00000", [ItemResult(3, Verdict.DONE, 200, b"\xff{}")]),
     ],
 )
-def test_message_survives_the_codec(message: Any) -> None:
+def test_message_is_unchanged_by_serialisation(message: Any) -> None:
     factory = TCompactProtocolAcceleratedFactory()
     assert deserialize(type(message)(), serialize(message, factory), factory) == message
