--- a/standins/measure/limits.py
+++ b/standins/measure/limits.py
@@ -1,4 +1,7 @@
-"""Over-admission and wrongful refusals: `python -m standins.measure.limits`."""
+"""Measures over-admission and wrongful refusals of limits.
+
+Run with `python -m standins.measure.limits`.
+"""
 
 import argparse
 import asyncio
@@ -27,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One load and one fault."""
+    """A load and the fault that occurs under it."""
 
     name: str
     seconds: int
@@ -35,8 +38,9 @@
     bursty: bool = False
     steered: bool = False
     lost: int = 0
-    """VMs lost, other than the homes of the greedy and the first other customer."""
+    """Number of VMs lost, other than the coordinators of the greedy and the first other customer."""
     home_lost: bool = False
+    """Whether the coordinator of the first customer within its limits is lost."""
     outage_s: int = 0
 
 
@@ -53,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request."""
+    """A request and the VM that its caller sends it to."""
 
     at_ms: int
     customer: str
@@ -62,60 +66,74 @@
 
 @dataclass(slots=True)
 class Tally:
-    """What became of one customer's requests."""
+    """Outcomes of one customer's requests."""
 
     requests: int = 0
     admitted: list[int] = field(default_factory=list)
+    """Times of admission, in milliseconds since the start."""
     by_oracle: int = 0
+    """Requests that one bucket for the whole fleet admits."""
     by_split: int = 0
+    """Requests that equal buckets, one per VM, admit."""
 
 
 def make_arrivals(scenario: Scenario, seed: int, fleet: LimitFleet) -> list[Arrival]:
-    """Return Poisson arrivals or Poisson lots; the greedy customer sends several times its rate."""
+    """Return Poisson arrivals, single or in bursts.
+
+    The greedy customer sends several times its rate, all others less than theirs.
+    """
     rng = random.Random(seed)
     arrivals: list[Arrival] = []
     for customer in CUSTOMERS:
         factor = GREEDY_FACTOR if customer.name == GREEDY else WITHIN_FACTOR
-        lot = BURST_REQUESTS if scenario.bursty else 1
-        mean_ms = 1000 * lot / (customer.rate_per_s * factor)
+        burst_size = BURST_REQUESTS if scenario.bursty else 1
+        mean_ms = 1000 * burst_size / (customer.rate_per_s * factor)
         vms = choose_vms(scenario, customer.name, fleet, rng)
-        at = rng.expovariate(1 / mean_ms)
-        while at < scenario.seconds * 1000:
-            arrivals += [Arrival(int(at), customer.name, rng.choice(vms)) for _ in range(lot)]
-            at += rng.expovariate(1 / mean_ms)
+        at_ms = rng.expovariate(1 / mean_ms)
+        while at_ms < scenario.seconds * 1000:
+            arrivals += [
+                Arrival(int(at_ms), customer.name, rng.choice(vms)) for _ in range(burst_size)
+            ]
+            at_ms += rng.expovariate(1 / mean_ms)
     return sorted(arrivals, key=lambda arrival: arrival.at_ms)
 
 
 def choose_vms(
     scenario: Scenario, customer: str, fleet: LimitFleet, rng: random.Random
 ) -> list[str]:
-    """Return the VMs of a customer's callers, its home first if they are steered."""
+    """Return the VMs that a customer's callers use.
+
+    Steered callers use three VMs, the first of which is the customer's limit coordinator.
+    """
     names = list(fleet.vms)
     if not scenario.steered:
         return names
-    home = fleet.find_home(customer)
-    return [home, *rng.sample([name for name in names if name != home], 2)]
+    coordinator = fleet.find_home(customer)
+    return [coordinator, *rng.sample([name for name in names if name != coordinator], 2)]
 
 
 def replay_bucket(arrivals: Sequence[Arrival], customer: Customer, parts: int) -> int:
-    """Return how many requests pass `parts` equal buckets, one a VM, or one for all."""
+    """Return how many requests are admitted by `parts` equal buckets.
+
+    With several parts each VM has one of the buckets; with one, all VMs share it.
+    """
     allowance = Allowance(customer.rate_per_s / parts, customer.burst / parts)
     buckets: dict[str, CoordinatorBucket] = {}
-    passed = 0
+    admitted = 0
     for arrival in arrivals:
-        name = arrival.vm if parts > 1 else ""
+        vm = arrival.vm if parts > 1 else ""
         full = CoordinatorBucket(allowance, Millis(0), allowance.burst)
-        passed += buckets.setdefault(name, full).spend(Millis(arrival.at_ms))
-    return passed
+        admitted += buckets.setdefault(vm, full).spend(Millis(arrival.at_ms))
+    return admitted
 
 
 async def async_disturb(scenario: Scenario, fleet: LimitFleet) -> None:
-    """Cause the scenario's fault."""
+    """Cause the fault of a scenario, `FAULT_AT_MS` after its start."""
     await fleet.clock.async_sleep(FAULT_AT_MS)
-    greedy, first = (fleet.find_home(customer.name) for customer in CUSTOMERS[:2])
+    greedy_vm, first_vm = (fleet.find_home(customer.name) for customer in CUSTOMERS[:2])
     if scenario.home_lost:
-        await fleet.async_kill(first)
-    others = [name for name in fleet.vms if name not in (greedy, first)]
+        await fleet.async_kill(first_vm)
+    others = [name for name in fleet.vms if name not in (greedy_vm, first_vm)]
     for name in others[: scenario.lost]:
         await fleet.async_kill(name)
     if scenario.outage_s:
@@ -125,46 +143,46 @@
 
 
 async def async_run(scenario: Scenario, seed: int) -> tuple[dict[str, Tally], float]:
-    """Run one seed; returns the tallies and the messages a second and VM."""
+    """Run one seed; return the tallies by customer and the messages per second and VM."""
     fleet = LimitFleet(VMS, CUSTOMERS)
     await fleet.async_start()
     arrivals = make_arrivals(scenario, seed, fleet)
     tallies = {customer.name: Tally() for customer in CUSTOMERS}
-    named = {customer.name: customer for customer in CUSTOMERS}
-    disturbance = asyncio.create_task(async_disturb(scenario, fleet))
-    started = fleet.get_now()
+    customers_by_name = {customer.name: customer for customer in CUSTOMERS}
+    fault = asyncio.create_task(async_disturb(scenario, fleet))
+    started_at = fleet.get_now()
 
     async def async_send(arrival: Arrival) -> None:
         alive = list(fleet.vms)
         vm = arrival.vm if arrival.vm in fleet.vms else alive[arrival.at_ms % len(alive)]
-        outcome = await fleet.vms[vm].limits.async_admit(named[arrival.customer])
+        outcome = await fleet.vms[vm].limits.async_admit(customers_by_name[arrival.customer])
         tallies[arrival.customer].requests += 1
         if isinstance(outcome, Ok):
-            tallies[arrival.customer].admitted.append(fleet.get_now() - started)
+            tallies[arrival.customer].admitted.append(fleet.get_now() - started_at)
 
-    running = []
+    sends = []
     for arrival in arrivals:
-        pause = arrival.at_ms - (fleet.get_now() - started)
-        if pause > 0:
-            await fleet.clock.async_sleep(pause)
-        running.append(asyncio.create_task(async_send(arrival)))
-    await asyncio.gather(*running)
+        delay_ms = arrival.at_ms - (fleet.get_now() - started_at)
+        if delay_ms > 0:
+            await fleet.clock.async_sleep(delay_ms)
+        sends.append(asyncio.create_task(async_send(arrival)))
+    await asyncio.gather(*sends)
     messages = fleet.count_messages() / scenario.seconds / VMS
-    disturbance.cancel()
+    fault.cancel()
     await fleet.async_close()
     for customer in CUSTOMERS:
-        own = [arrival for arrival in arrivals if arrival.customer == customer.name]
-        tallies[customer.name].by_oracle = replay_bucket(own, customer, 1)
-        tallies[customer.name].by_split = replay_bucket(own, customer, VMS)
+        arrived = [arrival for arrival in arrivals if arrival.customer == customer.name]
+        tallies[customer.name].by_oracle = replay_bucket(arrived, customer, 1)
+        tallies[customer.name].by_split = replay_bucket(arrived, customer, VMS)
     return tallies, messages
 
 
 def report(scenario: Scenario) -> str:
-    """Run all seeds of a scenario; returns one row of a table."""
+    """Run all seeds of a scenario; return its row of the table."""
     excess, messages = -1.0, 0.0
     missing = {True: 0, False: 0}
     split = {True: 0, False: 0}
-    due = {True: 0, False: 0}
+    admissible = {True: 0, False: 0}
     for seed in range(scenario.seeds):
         tallies, rate = run_virtual(async_run(scenario, seed))
         messages = max(messages, rate)
@@ -174,16 +192,16 @@
             excess = max(excess, worst)
             missing[greedy] += max(0, tally.by_oracle - len(tally.admitted))
             split[greedy] += max(0, tally.by_oracle - tally.by_split)
-            due[greedy] += tally.by_oracle
+            admissible[greedy] += tally.by_oracle
     cells = [scenario.name, str(scenario.seeds), f"{max(0.0, excess):.2f}"]
     for greedy in (False, True):
-        cells.append(f"{100 * missing[greedy] / due[greedy]:.2f}%")
-        cells.append(f"{100 * split[greedy] / due[greedy]:.2f}%")
+        cells.append(f"{100 * missing[greedy] / admissible[greedy]:.2f}%")
+        cells.append(f"{100 * split[greedy] / admissible[greedy]:.2f}%")
     return "| " + " | ".join([*cells, f"{messages:.1f}"]) + " |"
 
 
 def main() -> None:
-    """Print the table."""
+    """Print a table with a row for each scenario."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--only", default="", help="Part of a scenario's name.")
     only = parser.parse_args().only
