--- a/standins/measure/quotas.py
+++ b/standins/measure/quotas.py
@@ -1,7 +1,7 @@
 """Measures quotas over a fleet of gateway daemons: wrongful refusals and the most in one window.
 
-The demand of a customer is spread evenly over all VMs, in bursts, as callers cannot be steered. The
-ideal is one bucket that sees every request at once.
+A customer sends its demand in bursts to VMs chosen at random, as callers cannot be steered. The
+reference is a single bucket that sees each request immediately.
 """
 
 import random
@@ -23,15 +23,15 @@
 BURST_MS = 2_200
 BURST_SHARE = 1.85
 LULL_SHARE = 0.378
-"""The shape of the users' days: bursts of 2.2 s at 1.85 times the mean, 3 s at 0.378 times between."""
+"""Demand over time: bursts of 2.2 s at 1.85 times the mean, between them 3 s at 0.378 times."""
 CUSTOMER = "club"
 START_MS = 2_000
-"""Daemons know each other and have a full bucket by then."""
+"""By then all daemons know of each other and their buckets are full."""
 
 
 @dataclass(slots=True)
 class IdealBucket:
-    """One bucket for the whole fleet."""
+    """A token bucket that the whole fleet shares without delay."""
 
     rate_per_s: float
     burst: float
@@ -39,9 +39,9 @@
     at: int = 0
 
     def admit(self, now: int) -> bool:
-        """Take one token."""
-        earned = (now - self.at) * self.rate_per_s / 1000
-        self.level, self.at = min(self.burst, self.level + earned), now
+        """Spend one token; return whether there was one."""
+        refill = (now - self.at) * self.rate_per_s / 1000
+        self.level, self.at = min(self.burst, self.level + refill), now
         if self.level < 1:
             return False
         self.level -= 1
@@ -50,19 +50,20 @@
 
 @dataclass(slots=True)
 class QuotaFigures:
-    """What a run came to."""
+    """Counts of requests in one run."""
 
     asked: int = 0
     admitted: int = 0
     ideal: int = 0
-    """Requests that one bucket would have admitted."""
+    """Requests that the ideal bucket admits."""
     wrongly_refused: int = 0
-    """Requests refused that one bucket admits at that moment."""
+    """Refused requests that the ideal bucket admits at that moment."""
     most_in_window: int = 0
+    """Most requests admitted within any `WINDOW_MS` milliseconds."""
     _window: deque[int] = field(default_factory=deque)
 
     def take(self, now: int, *, admitted: bool, ideal: bool) -> None:
-        """Count one request."""
+        """Count one request, sent at `now` in milliseconds."""
         self.asked += 1
         self.admitted += admitted
         self.ideal += ideal
@@ -76,13 +77,16 @@
 
 
 def choose_load(now: int, demand: float) -> float:
-    """Return requests a second at a moment."""
+    """Return the requests per second at `now`, in milliseconds since the start.
+
+    `demand` is the mean, in requests per second.
+    """
     in_burst = now % BURST_PERIOD_MS < BURST_MS
     return demand * (BURST_SHARE if in_burst else LULL_SHARE)
 
 
 async def async_start(fleet: GatewayFleet, vms: int, rate_per_s: float, burst: float) -> None:
-    """Start daemons with one limited customer, and wait until they know each other."""
+    """Start daemons with one limited customer and wait until they know of each other."""
     limits = {"name": CUSTOMER, "rate_per_s": rate_per_s, "burst": burst}
     fleet.write_catalogue(customers=(limits,))
     await fleet.async_add_many(vms)
@@ -92,19 +96,19 @@
 async def async_drive(
     fleet: GatewayFleet, rate_per_s: float, burst: float, demand: float, seconds: float, seed: int
 ) -> QuotaFigures:
-    """Send a customer's requests to the running members and count."""
-    chance = random.Random(seed)
+    """Send a customer's requests to random running daemons and count the outcomes."""
+    rng = random.Random(seed)
     figures = QuotaFigures()
     start = fleet.clock.now()
     ideal = IdealBucket(rate_per_s, burst, at=start)
     while fleet.clock.now() - start < seconds * 1000:
         now = fleet.clock.now()
-        gap_ms = chance.expovariate(choose_load(now - start, demand)) * 1000
+        gap_ms = rng.expovariate(choose_load(now - start, demand)) * 1000
         await fleet.clock.async_sleep(max(1, round(gap_ms)))
         now = fleet.clock.now()
         if not fleet.members:
             continue
-        member = chance.choice(fleet.members)
+        member = rng.choice(fleet.members)
         customer = member.read(CATALOGUE).customers.get(CUSTOMER)
         if customer is None:
             continue
@@ -116,7 +120,7 @@
 def measure(
     vms: int, rate_per_s: float, burst: float, demand: float, seconds: float, seed: int
 ) -> QuotaFigures:
-    """Run one fleet."""
+    """Measure one fleet in virtual time."""
 
     async def async_run() -> QuotaFigures:
         fleet = make_fleet(LoopClock())
@@ -131,17 +135,17 @@
 
 @app.default
 def main(vms: int = 11, seconds: float = 60, seeds: int = 3) -> None:
-    """Print a row for each demand, as a multiple of the rate."""
+    """Print a row for each seed and demand; demand is a multiple of the customer's rate."""
     print("demand  asked  admitted  one bucket  wrongly refused  most in 5 s  bound")
     for share in (0.62, 0.9, 1.5, 4.6):
         for seed in range(seeds):
             rate, burst = 34.0, 34.0
-            found = measure(vms, rate, burst, rate * share, seconds, seed)
+            figures = measure(vms, rate, burst, rate * share, seconds, seed)
             bound = (rate * WINDOW_MS / 1000 + burst) * 1.1 + 20
-            wrong = found.wrongly_refused / max(1, found.asked)
+            refused_share = figures.wrongly_refused / max(1, figures.asked)
             print(
-                f"{share:6.2f} {found.asked:6d} {found.admitted:9d} {found.ideal:11d} "
-                f"{found.wrongly_refused:6d} ({wrong:6.2%}) {found.most_in_window:12d} {bound:6.0f}"
+                f"{share:6.2f} {figures.asked:6d} {figures.admitted:9d} {figures.ideal:11d} "
+                f"{figures.wrongly_refused:6d} ({refused_share:6.2%}) {figures.most_in_window:12d} {bound:6.0f}"
             )
 
 
