--- a/standins/measure/overload.py
+++ b/standins/measure/overload.py
@@ -1,9 +1,10 @@
-"""Measures how a fleet decides under its worst loads, and what each mechanism is worth there.
+"""Measures the worth that a fleet earns under overload, and what each mechanism contributes to it.
 
-Real gateway daemons on virtual time, before engines with slots and a first-come queue. Callers count an
-answer as good if its first event comes within 300 ms, have five seconds, and come back once, when they
-were told to. Jobs of some ten items are due after 18 s. A policy turns mechanisms off; all policies of a
-seed meet the same callers, items and faults.
+Real gateway daemons run in virtual time with simulated engines that have slots and a first-come
+queue. Callers count an answer as good if its first event arrives within 300 ms, wait up to five
+seconds and retry once, after the delay that a refusal gives. Jobs of about ten items are due after
+18 s. A policy turns mechanisms off; with the same seed all policies get the same callers, items and
+faults.
 """
 
 from collections.abc import Callable, Sequence
@@ -26,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One play, by names, so that another process can make it."""
+    """One run, given by names, so that it can be passed to another process."""
 
     policy: str
     load: str
@@ -34,36 +35,36 @@
 
 
 def play_plan(plan: Plan) -> Figures:
-    """Play what a plan names."""
+    """Run the load of a plan with its policy and seed."""
     load = next(load for load in LOADS if load.name == plan.load)
     policy = next(policy for policy in POLICIES if policy.name == plan.policy)
     return measure(load, plan.seed, policy)
 
 
-def print_figures(name: str, found: Sequence[Figures], whole: Sequence[Figures]) -> None:
-    """Print one row: the means over all seeds, and what the policy loses against all mechanisms."""
+def print_figures(name: str, runs: Sequence[Figures], baseline: Sequence[Figures]) -> None:
+    """Print the means over all seeds and the policy's loss compared with all mechanisms."""
 
     def mean(read: Callable[[Figures], float]) -> float:
-        return sum(read(each) for each in found) / len(found)
+        return sum(read(figures) for figures in runs) / len(runs)
 
     print(
         f"{name:41s} {mean(lambda f: f.worth):6.3f} {mean(lambda f: f.online_worth):6.3f} "
         f"{mean(lambda f: f.batch_worth):6.3f} {mean(lambda f: f.wasted):7.1%} "
         f"{mean(lambda f: f.read_first_ms(0.5)):6.0f} {mean(lambda f: f.read_first_ms(0.99)):6.0f}"
-        f"  {describe_loss(found, whole) if found is not whole else ''}".rstrip(),
+        f"  {describe_loss(runs, baseline) if runs is not baseline else ''}".rstrip(),
         flush=True,
     )
 
 
-def describe_loss(found: Sequence[Figures], whole: Sequence[Figures]) -> str:
-    """Return how much more worth all mechanisms earned on the same seeds, with its interval."""
-    loss = compare([f.worth for f in whole], [f.worth for f in found])
+def describe_loss(runs: Sequence[Figures], baseline: Sequence[Figures]) -> str:
+    """Return how much more worth all mechanisms earned on the same seeds, with its 95% interval."""
+    loss = compare([f.worth for f in baseline], [f.worth for f in runs])
     mark = " *" if loss.is_clear else ""
     return f"{loss.mean:+.3f} [{loss.low:+.3f}, {loss.high:+.3f}]{mark}"
 
 
 def print_bound(load: Load, seeds: Sequence[int]) -> float:
-    """Print the row of the bound; returns it."""
+    """Print the row of the bound and return its mean over the seeds."""
     bounds = [find_bound(draw_record(load, seed), load.engines) for seed in seeds]
     bound = sum(bounds) / len(bounds)
     print(f"{'no policy can exceed':41s} {bound:6.3f}", flush=True)
@@ -71,7 +72,7 @@
 
 
 def draw(rows: dict[str, list[float]], loads: Sequence[Load], path: Path) -> None:
-    """Write a picture (SVG) of the worth by load, for each policy."""
+    """Write an SVG bar chart of the worth by load, for each policy."""
     chart = pygal.Bar(title="Share of the worth that was earned", x_label_rotation=30)
     chart.x_labels = [load.name for load in loads]
     for name, worths in rows.items():
@@ -82,17 +83,17 @@
 def print_load(
     load: Load, policies: Sequence[Policy], seeds: Sequence[int], pool: ProcessPoolExecutor
 ) -> dict[str, float]:
-    """Play a load by each policy and print it; returns the mean worths."""
+    """Run a load with each policy and print a row for each; return the mean worths by policy."""
     print(f"\n{load.name}\n{'policy':41s}  worth online  batch  wasted p50 ms p99 ms  loss [95%]")
     plans = [Plan(policy.name, load.name, seed) for policy in policies for seed in seeds]
-    played = pool.map(play_plan, plans)
+    results = pool.map(play_plan, plans)
     worths: dict[str, float] = {}
-    whole: list[Figures] = []
+    baseline: list[Figures] = []
     for policy in policies:
-        found = [next(played) for _ in seeds]
-        whole = whole or found
-        print_figures(policy.name, found, whole)
-        worths[policy.name] = sum(figures.worth for figures in found) / len(found)
+        runs = [next(results) for _ in seeds]
+        baseline = baseline or runs
+        print_figures(policy.name, runs, baseline)
+        worths[policy.name] = sum(figures.worth for figures in runs) / len(runs)
     worths["bound"] = print_bound(load, seeds)
     return worths
 
@@ -108,21 +109,21 @@
 ) -> None:
     """Print worth by load and policy.
 
-    `--load` keeps loads whose names hold it. `--ablation` also turns off one mechanism after the other
-    and plays first come, first served: `loss` is what all mechanisms earned more, in the mean of the
-    seeds, with a 95% interval by bootstrap; an asterisk marks those that leave out zero. The last row
-    is a bound, see `overload_bound`.
+    `--load` selects the loads whose names contain it. `--ablation` also measures policies with one
+    mechanism turned off, and first come, first served. `loss` is how much more worth all mechanisms
+    earned, as the mean over the seeds with a 95% bootstrap interval; an asterisk marks intervals
+    that exclude zero. The last row is an upper bound, see `overload_bound`.
     """
-    chosen = [each for each in LOADS if load in each.name]
+    selected = [candidate for candidate in LOADS if load in candidate.name]
     policies = POLICIES if ablation else (ALL_MECHANISMS,)
-    numbers = range(first_seed, first_seed + seeds)
+    seed_range = range(first_seed, first_seed + seeds)
     rows: dict[str, list[float]] = {}
     with ProcessPoolExecutor(processes) as pool:
-        for each in chosen:
-            for name, worth in print_load(each, policies, numbers, pool).items():
+        for candidate in selected:
+            for name, worth in print_load(candidate, policies, seed_range, pool).items():
                 rows.setdefault(name, []).append(worth)
     if plot is not None:
-        draw(rows, chosen, plot)
+        draw(rows, selected, plot)
 
 
 if __name__ == "__main__":
