--- a/standins/measure/limits.py
+++ b/standins/measure/limits.py
@@ -38,7 +38,7 @@
     bursty: bool = False
     steered: bool = False
     lost: int = 0
-    """Number of VMs lost, other than the coordinators of the greedy and the first other customer."""
+    """VMs lost, other than the coordinators of the greedy and the first other customer."""
     home_lost: bool = False
     """Whether the coordinator of the first customer within its limits is lost."""
     outage_s: int = 0
--- a/standins/measure/quotas.py
+++ b/standins/measure/quotas.py
@@ -145,7 +145,8 @@
             refused_share = figures.wrongly_refused / max(1, figures.asked)
             print(
                 f"{share:6.2f} {figures.asked:6d} {figures.admitted:9d} {figures.ideal:11d} "
-                f"{figures.wrongly_refused:6d} ({refused_share:6.2%}) {figures.most_in_window:12d} {bound:6.0f}"
+                f"{figures.wrongly_refused:6d} ({refused_share:6.2%}) "
+                f"{figures.most_in_window:12d} {bound:6.0f}"
             )
 
 
