--- a/standins/measure/overload_loads.py
+++ b/standins/measure/overload_loads.py
@@ -1,6 +1,7 @@
-"""The loads of the measure of overloads, and what of each comes when.
+"""Loads of the overload measurement, and the times of their requests, jobs and faults.
 
-All of a load is drawn before it is played, so that every policy meets the same callers, items and faults.
+Everything random in a load is drawn before the run, so that every policy gets the same callers,
+items and faults.
 """
 
 import random
@@ -15,30 +16,37 @@
 BURST_MS: Final = 2_400
 BURST_SHARE: Final = 1.91
 LULL_SHARE: Final = 0.39
-"""The shape of the users' days: bursts of 2.4 s at 1.91 times the mean, 3.6 s at 0.39 times between."""
+"""Demand over time: bursts of 2.4 s at 1.91 times the mean, between them 3.6 s at 0.39 times."""
 ITEM_EVENTS: Final = 200
+"""Mean number of events of an item."""
 LEAST_EVENTS: Final = 50
 JOB_ITEMS: Final = 10
+"""Mean number of items of a job."""
 ITEMS_SPREAD: Final = 4
+"""Standard deviation of the number of items of a job."""
 LEAST_ITEMS: Final = 2
 TRIES: Final = 2
-"""How often a caller asks."""
+"""How often a caller sends a request or submits a job, the first attempt included."""
 LOSS_MS: Final = PERIOD_MS + 3_700
-"""At the begin of a burst."""
+"""When engines are lost: at the start of a burst."""
 UNLIST_MS: Final = 3_000
+"""From the loss of an engine to the removal of its entry."""
 SLOW_MS: Final = 8_000
+"""How long an engine is slow."""
 TURN_MS: Final = 2_000
+"""Interval between replacements of VMs."""
 POWER_MS: Final = 2 * PERIOD_MS + 4_600
-"""In the middle of a burst."""
+"""When all VMs are lost: in the middle of a burst."""
 DARK_MS: Final = 1_000
+"""From the loss of all VMs to their return."""
 
 
 class FaultKind(StrEnum):
-    """What happens to an engine or a VM."""
+    """Kinds of faults and recoveries of engines and VMs."""
 
     ENGINE_LOST = "engine lost"
     ENGINE_UNLISTED = "engine unlisted"
-    """The entry of a lost engine is removed."""
+    """The entry of a lost engine is removed from the store."""
     ENGINE_SLOW = "engine slow"
     ENGINE_QUICK = "engine quick again"
     VM_REPLACED = "VM replaced"
@@ -48,17 +56,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing that happens to an engine or a VM."""
+    """A fault or a recovery of an engine or a VM."""
 
     at_ms: int
+    """Milliseconds since the start of the load."""
     kind: FaultKind
     number: int = 0
-    """Which engine or VM."""
+    """Index of the engine or VM."""
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """One load: how much comes, and what happens meanwhile."""
+    """Rates of requests and jobs, the size of the fleet, and the faults that occur."""
 
     name: str
     requests_per_s: float = 27.0
@@ -71,29 +80,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One caller who wants a stream."""
+    """A caller's request for a stream."""
 
     name: str
     at_ms: int
     entries: tuple[float, ...]
-    """Where each try goes: a share of the list of VMs that are up."""
+    """The VM of each attempt, as a fraction from 0 to 1 of the list of VMs that are up."""
 
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """One caller who submits a job."""
+    """A caller's batch job."""
 
     name: str
     at_ms: int
     entries: tuple[float, ...]
-    """As of a request."""
+    """The VM of each attempt to submit, as in `Request`."""
     events: tuple[int, ...]
-    """Of each item."""
+    """Number of events of each item."""
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """All of a load, in ms from its begin."""
+    """All requests, jobs and faults of a load; times are in ms since its start."""
 
     requests: tuple[Request, ...]
     jobs: tuple[Job, ...]
@@ -101,40 +110,40 @@
 
 
 def draw_record(load: Load, seed: int) -> Record:
-    """Draw a load; requests and jobs come from generators of their own."""
+    """Draw a load; requests and jobs use separate random generators."""
     requests = _draw_requests(load, random.Random(f"requests {seed}"))
     jobs = _draw_jobs(load, random.Random(f"jobs {seed}"))
     return Record(tuple(requests), tuple(jobs), load.faults)
 
 
-def _draw_requests(load: Load, chance: random.Random) -> Iterator[Request]:
+def _draw_requests(load: Load, rng: random.Random) -> Iterator[Request]:
     at_ms, number = 0, 0
     while at_ms < load.seconds * MS_PER_SECOND:
         in_burst = at_ms % PERIOD_MS >= PERIOD_MS - BURST_MS
         rate = load.requests_per_s * (BURST_SHARE if in_burst else LULL_SHARE)
-        at_ms += round(chance.expovariate(rate) * MS_PER_SECOND)
+        at_ms += round(rng.expovariate(rate) * MS_PER_SECOND)
         number += 1
-        yield Request(f"r{number}", at_ms, _draw_entries(chance))
+        yield Request(f"r{number}", at_ms, _draw_entries(rng))
 
 
-def _draw_jobs(load: Load, chance: random.Random) -> Iterator[Job]:
+def _draw_jobs(load: Load, rng: random.Random) -> Iterator[Job]:
     at_ms, number = 0, 0
     while True:
-        at_ms += round(chance.expovariate(load.jobs_per_s) * MS_PER_SECOND)
+        at_ms += round(rng.expovariate(load.jobs_per_s) * MS_PER_SECOND)
         if at_ms >= load.seconds * MS_PER_SECOND:
             return
         number += 1
-        count = max(LEAST_ITEMS, round(chance.gauss(JOB_ITEMS, ITEMS_SPREAD)))
-        events = tuple(_draw_events(chance) for _ in range(count))
-        yield Job(f"job{number}", at_ms, _draw_entries(chance), events)
+        count = max(LEAST_ITEMS, round(rng.gauss(JOB_ITEMS, ITEMS_SPREAD)))
+        events = tuple(_draw_events(rng) for _ in range(count))
+        yield Job(f"job{number}", at_ms, _draw_entries(rng), events)
 
 
-def _draw_entries(chance: random.Random) -> tuple[float, ...]:
-    return tuple(chance.random() for _ in range(TRIES))
+def _draw_entries(rng: random.Random) -> tuple[float, ...]:
+    return tuple(rng.random() for _ in range(TRIES))
 
 
-def _draw_events(chance: random.Random) -> int:
-    return max(LEAST_EVENTS, round(chance.gauss(ITEM_EVENTS, ITEM_EVENTS / 4)))
+def _draw_events(rng: random.Random) -> int:
+    return max(LEAST_EVENTS, round(rng.gauss(ITEM_EVENTS, ITEM_EVENTS / 4)))
 
 
 WIDE_VMS: Final = 80
@@ -149,7 +158,7 @@
 
 
 def lose_vms(vms: int) -> tuple[Fault, ...]:
-    """Return the faults of a loss of all VMs at once."""
+    """Return the faults of losing all VMs at once and getting them back."""
     return (
         *(Fault(POWER_MS, FaultKind.VM_LOST, number) for number in range(vms)),
         *(Fault(POWER_MS + DARK_MS, FaultKind.VM_BACK, number) for number in range(vms)),
@@ -157,7 +166,7 @@
 
 
 def lose_engines(numbers: Iterable[int]) -> tuple[Fault, ...]:
-    """Return the faults of a loss of several engines in a burst."""
+    """Return the faults of losing several engines in a burst."""
     return tuple(
         fault
         for number in numbers
@@ -169,7 +178,7 @@
 
 
 def make_wide_load(name: str, faults: tuple[Fault, ...]) -> Load:
-    """Return a load of a fleet of many small VMs."""
+    """Return a load for a fleet of many small VMs."""
     return Load(name, 111.0, 1.28, engines=WIDE_ENGINES, vms=WIDE_VMS, seconds=24, faults=faults)
 
 
