--- a/goldcreststair/components/quotas/controller.py
+++ b/goldcreststair/components/quotas/controller.py
@@ -118,8 +118,8 @@
         self._buckets: dict[int, _Bucket] = {}
         self._peers: dict[str, _PeerCounts] = {}
         self._share = FleetShare()
-        self._all_reachable_since: Millis | None = clock.now()
-        """Since when all other daemons are reachable; None while they are not."""
+        self._all_responsive_since: Millis | None = clock.now()
+        """Since when all other daemons are responsive; None while they are not."""
         self._started_at = clock.now()
         self._customers: Mapping[int, CatalogueCustomer] = {}
         self.digest_delay_ms = 0
@@ -140,9 +140,9 @@
         self._refill_all()
         before, self._share = self._share.fraction, share
         if share.fraction < 1:
-            self._all_reachable_since = None
+            self._all_responsive_since = None
         else:
-            self._all_reachable_since = self._all_reachable_since or self._clock.now()
+            self._all_responsive_since = self._all_responsive_since or self._clock.now()
         for key, bucket in self._buckets.items():
             if share.fraction < before:
                 kept = min(bucket.level, bucket.level * share.fraction / before)
@@ -332,8 +332,8 @@
             bucket.level = min(customer.burst * fraction, bucket.level + earned * fraction)
             bucket.withheld += earned * (1 - fraction)
         if (
-            self._all_reachable_since is not None
-            and now - self._all_reachable_since > UNRESPONSIVE_MS
+            self._all_responsive_since is not None
+            and now - self._all_responsive_since > UNRESPONSIVE_MS
         ):
             bucket.withheld = 0.0
         bucket.at = now
