--- a/standins/measure/overload_figures.py
+++ b/standins/measure/overload_figures.py
@@ -1,22 +1,25 @@
-"""What one play of the measure of overloads came to."""
+"""Results of one run of the overload measurement."""
 
 from dataclasses import dataclass, field
 from typing import Final
 
 REQUEST_WORTH: Final = 3.8
+"""Worth of a request answered in time."""
 ITEM_WORTH: Final = 23.0
+"""Worth of an item finished in time."""
 LATE_SHARE: Final = 0.15
-"""What a late answer is worth of one in time."""
+"""Worth of a late answer, as a share of the worth of an answer in time."""
 LATE_ITEM_SHARE: Final = 0.1
+"""Worth of a late item, as a share of the worth of an item in time."""
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What one call came to."""
+    """How one call ended."""
 
     request_id: str
     answer: str
-    """`whole`, `accepted`, a refusal's code, `broken` or `none`."""
+    """`whole`, `accepted`, a refusal's code, `broken`, or `none` if the VM was lost."""
     asked_at: int
     ended_at: int
     event_times: tuple[int, ...] = ()
@@ -24,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """How many results of a job were listed at a time."""
+    """Number of results of a job that were in the store at a time."""
 
     at: int
     job: str
@@ -33,18 +36,18 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Came:
-    """What came to the fleet: a caller or a fault."""
+    """An arrival at the fleet: a request, a job or a fault."""
 
     at_ms: int
-    """From the load's begin."""
+    """Milliseconds since the start of the load."""
     name: str
     events: tuple[int, ...] = ()
-    """Of each item, if it is a job."""
+    """Number of events of each item, if it is a job."""
 
 
 @dataclass(slots=True)
 class Figures:
-    """What one play came to."""
+    """Counts, times and histories of one run."""
 
     requests: int = 0
     in_time: int = 0
@@ -53,42 +56,43 @@
     items_in_time: int = 0
     items_late: int = 0
     events_made: int = 0
-    """Events of items that engines made."""
+    """Events of items that engines produced."""
     events_kept: int = 0
-    """Those that stand in results."""
+    """Events of items that are part of stored results."""
     firsts_ms: list[int] = field(default_factory=list)
+    """Milliseconds from each answered request to its first event."""
     came: list[Came] = field(default_factory=list)
-    """All that came, in the order of time."""
+    """All arrivals, in order of time."""
     outcomes: list[Outcome] = field(default_factory=list)
-    """Of all calls, in the order of their ends."""
+    """Outcomes of all calls, in the order in which they ended."""
     listed: list[Listed] = field(default_factory=list)
-    """Of all jobs, in the order of time."""
+    """Changes of the number of results of all jobs, in order of time."""
     ran: dict[str, list[str]] = field(default_factory=dict)
-    """By engine, all runs in the order of their begin."""
+    """All runs by engine, in the order in which they started."""
 
     @property
     def online_worth(self) -> float:
-        """Share of the online worth that was earned."""
+        """Earned share of the worth of all requests."""
         return (self.in_time + LATE_SHARE * self.late) / max(1, self.requests)
 
     @property
     def batch_worth(self) -> float:
-        """Share of the batch worth that was earned."""
+        """Earned share of the worth of all items."""
         return (self.items_in_time + LATE_ITEM_SHARE * self.items_late) / max(1, self.items)
 
     @property
     def worth(self) -> float:
-        """Share of all worth that was earned."""
-        online, batch = self.requests * REQUEST_WORTH, self.items * ITEM_WORTH
-        earned = self.online_worth * online + self.batch_worth * batch
-        return earned / max(1.0, online + batch)
+        """Earned share of the worth of all requests and items."""
+        online_total, batch_total = self.requests * REQUEST_WORTH, self.items * ITEM_WORTH
+        earned = self.online_worth * online_total + self.batch_worth * batch_total
+        return earned / max(1.0, online_total + batch_total)
 
     @property
     def wasted(self) -> float:
-        """Share of the items' events that were made in vain."""
+        """Share of the items' produced events that are in no stored result."""
         return 1 - self.events_kept / max(1, self.events_made)
 
     def read_first_ms(self, share: float) -> int:
-        """Return a percentile of the times to the first event."""
+        """Return a percentile of the times to the first event, in ms; `share` is from 0 to 1."""
         ranked = sorted(self.firsts_ms) or [0]
         return ranked[min(len(ranked) - 1, int(share * len(ranked)))]
