--- a/standins/measure/overload_play.py
+++ b/standins/measure/overload_play.py
@@ -1,4 +1,4 @@
-"""Plays one load of the measure of overloads before a fleet of real gateway daemons."""
+"""Runs a load of the overload measurement against a fleet of real gateway daemons."""
 
 import asyncio
 from collections.abc import Sequence
@@ -26,25 +26,31 @@
 from standins.virtual_time import run_virtual
 
 OBJECTIVE_MS: Final = 300
+"""An answer is in time if its first event arrives within this time."""
 DEADLINE_MS: Final = 5_000
+"""How long a caller waits for all attempts of a request."""
 DUE_MS: Final = 18_000
+"""An item is in time if its result is stored within this time of its job's arrival."""
 REQUEST_EVENTS: Final = 35
 EVENT_MS: Final = 20
+"""Time between events at an engine of normal speed."""
 FIRST_MS: Final = 60
+"""From the start of a run to its first event at an engine of normal speed."""
 SLOWNESS: Final = 2.6
-"""How many times as long a slow engine takes."""
+"""Factor by which a slow engine takes longer."""
 ITEM_TOKENS: Final = 2_000
 START_MS: Final = 1_500
+"""Time for the daemons to start before the load begins."""
 HALF_MS_S: Final = 0.000_5
 REST_MS: Final = 22_000
-"""Time for the last jobs to come to their end."""
+"""Time for the last jobs to finish."""
 REPLACE_MS: Final = 500
-"""From the end of a VM to the start of the next at its address."""
+"""From the stop of a VM to the start of its replacement at the same address."""
 
 
 @dataclass(slots=True)
 class Play:
-    """One load being played."""
+    """A run of one load."""
 
     load: Load
     record: Record
@@ -52,27 +58,28 @@
     figures: Figures = field(default_factory=Figures)
     engines: list[RunEngine] = field(default_factory=list)
     addresses: list[str] = field(default_factory=list)
-    """Of the VMs."""
+    """Addresses of the VMs, by their numbers in the load."""
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
     began: int = 0
+    """Time at which the load started, on the clock of the fleet."""
 
     @property
     def clock(self) -> Clock:
-        """Its time."""
+        """The clock of the fleet."""
         return self.fleet.clock
 
     async def async_run(self) -> None:
-        """Play the load to its end."""
+        """Run the load until its last jobs have had time to finish."""
         self._add_engines()
         members = await self.fleet.async_add_many(self.load.vms)
         self.addresses = [member.address for member in members]
         await self.clock.async_sleep(START_MS)
-        # Timers fire a rounding error early: at the edge of a ms, one play would read another than the
-        # next.
+        # Timers may fire early by a rounding error. At the boundary of a millisecond, two runs of
+        # one load would then read different times.
         await asyncio.sleep(HALF_MS_S)
         self.began = self.clock.now()
-        for played in (self._async_jobs(), self._async_faults()):
-            self.tasks.append(asyncio.create_task(played))
+        for coroutine in (self._async_jobs(), self._async_faults()):
+            self.tasks.append(asyncio.create_task(coroutine))
         await self._async_requests()
         await self.clock.async_sleep(REST_MS)
         self._end_tasks()
@@ -92,27 +99,27 @@
             engine.data_centre = f"dc{number % 3}"
             self.engines.append(engine)
 
-    async def _async_await(self, at_ms: int) -> None:
+    async def _async_sleep_until(self, at_ms: int) -> None:
         await self.clock.async_sleep(max(0, self.began + at_ms - self.clock.now()))
 
-    def _note(self, name: str, events: tuple[int, ...] = ()) -> None:
+    def _record_arrival(self, name: str, events: tuple[int, ...] = ()) -> None:
         self.figures.came.append(Came(self.clock.now() - self.began, name, events))
 
     async def _async_requests(self) -> None:
         for request in self.record.requests:
-            await self._async_await(request.at_ms)
-            self._note(request.name)
+            await self._async_sleep_until(request.at_ms)
+            self._record_arrival(request.name)
             self.tasks.append(asyncio.create_task(self._async_request(request)))
 
     async def _async_request(self, request: Request) -> None:
-        figures, asked = self.figures, self.clock.now()
+        figures, sent_at = self.figures, self.clock.now()
         figures.requests += 1
-        for attempt, place in enumerate(request.entries):
-            left_ms = asked + DEADLINE_MS - self.clock.now()
+        for attempt, entry in enumerate(request.entries):
+            left_ms = sent_at + DEADLINE_MS - self.clock.now()
             name = f"{request.name}.{attempt}"
-            answer = await self._async_send("/stream/x", b"", left_ms, name, place)
+            answer = await self._async_send("/stream/x", b"", left_ms, name, entry)
             if answer is not None and answer.whole:
-                first_ms = answer.event_times[0] - asked
+                first_ms = answer.event_times[0] - sent_at
                 figures.firsts_ms.append(first_ms)
                 figures.in_time += first_ms <= OBJECTIVE_MS
                 figures.late += first_ms > OBJECTIVE_MS
@@ -120,22 +127,25 @@
             refusal = answer.refusal if answer is not None else None
             if attempt or (refusal is not None and not refusal.not_run):
                 return
-            pause_ms = refusal.retry_after_ms if refusal is not None else 50
-            await self.clock.async_sleep(min(pause_ms, max(0, left_ms // 3)))
+            delay_ms = refusal.retry_after_ms if refusal is not None else 50
+            await self.clock.async_sleep(min(delay_ms, max(0, left_ms // 3)))
 
     async def _async_send(
-        self, path: str, body: bytes, left_ms: int, request_id: str, place: float
+        self, path: str, body: bytes, left_ms: int, request_id: str, entry: float
     ) -> FakeResponder | None:
-        """Send a request to a VM; None if there is none or it ended before its answer."""
+        """Send a request to a VM; return None if there is none or it was lost before its answer.
+
+        `entry` selects the VM, as a fraction from 0 to 1 of the list of VMs that are up.
+        """
         if not self.fleet.members or left_ms <= 0:
             return None
-        asked = self.clock.now()
+        sent_at = self.clock.now()
         request = self.fleet.make_request(path, body, left_ms, request_id)
-        responder = await self._async_serve(request, _pick(self.fleet.members, place))
-        outcome = Outcome(request.request_id, "none", asked, self.clock.now())
+        responder = await self._async_serve(request, _choose_member(self.fleet.members, entry))
+        outcome = Outcome(request.request_id, "none", sent_at, self.clock.now())
         if responder is not None:
             events = tuple(responder.event_times)
-            outcome = replace(outcome, answer=_describe(responder), event_times=events)
+            outcome = replace(outcome, answer=_classify(responder), event_times=events)
         self.figures.outcomes.append(outcome)
         return responder
 
@@ -143,63 +153,63 @@
         self, request: CallerRequest, member: FleetMember
     ) -> FakeResponder | None:
         responder = FakeResponder(self.clock)
-        served = asyncio.ensure_future(
+        forwarding = asyncio.ensure_future(
             member.core.get(FORWARDING).async_forward(request, responder)
         )
-        while not served.done():
-            await asyncio.wait({served}, timeout=0.02)
-            if member not in self.fleet.members and not served.done():
-                served.cancel()
+        while not forwarding.done():
+            await asyncio.wait({forwarding}, timeout=0.02)
+            if member not in self.fleet.members and not forwarding.done():
+                forwarding.cancel()
                 return None
         return responder
 
     async def _async_jobs(self) -> None:
         for job in self.record.jobs:
-            await self._async_await(job.at_ms)
-            self._note(job.name, job.events)
+            await self._async_sleep_until(job.at_ms)
+            self._record_arrival(job.name, job.events)
             self.tasks.append(asyncio.create_task(self._async_job(job)))
 
     async def _async_job(self, job: Job) -> None:
-        asked = self.clock.now()
+        sent_at = self.clock.now()
         self.figures.items += len(job.events)
         names = [f"{job.name}-{number}" for number in range(len(job.events))]
         self.fleet.engines.events_by_request.update(zip(names, job.events, strict=True))
         lines = "\n".join(f"{name} {ITEM_TOKENS}" for name in names).encode()
-        for place in job.entries:
+        for entry in job.entries:
             answer = await self._async_send(
-                f"/batch/{job.name}", lines, DEADLINE_MS, job.name, place
+                f"/batch/{job.name}", lines, DEADLINE_MS, job.name, entry
             )
             if answer is not None and answer.accepted:
                 break
             await self.clock.async_sleep(MS_PER_SECOND)
-        await self._async_watch(job.name, len(job.events), asked)
+        await self._async_watch(job.name, len(job.events), sent_at)
 
-    async def _async_watch(self, name: str, count: int, asked: int) -> None:
+    async def _async_watch(self, name: str, count: int, sent_at: int) -> None:
         listed = 0
         while listed < count:
             await self.clock.async_sleep(200)
             rows = [row for row in self.fleet.store.rows if row.table == "job_results"]
-            found = sum(row.key.startswith(f"{name}/") for row in rows)
-            age_ms = self.clock.now() - asked
-            in_time = found - listed if age_ms <= DUE_MS else 0
+            stored = sum(row.key.startswith(f"{name}/") for row in rows)
+            age_ms = self.clock.now() - sent_at
+            in_time = stored - listed if age_ms <= DUE_MS else 0
             self.figures.items_in_time += in_time
-            self.figures.items_late += found - listed - in_time
-            if found != listed:
-                self.figures.listed.append(Listed(self.clock.now(), name, found))
-            listed = found
+            self.figures.items_late += stored - listed - in_time
+            if stored != listed:
+                self.figures.listed.append(Listed(self.clock.now(), name, stored))
+            listed = stored
 
     async def _async_faults(self) -> None:
         for fault in self.record.faults:
-            await self._async_await(fault.at_ms)
-            self._note(f"{fault.kind} {fault.number}")
+            await self._async_sleep_until(fault.at_ms)
+            self._record_arrival(f"{fault.kind} {fault.number}")
             self.tasks.append(asyncio.create_task(self._async_apply(fault)))
 
     async def _async_apply(self, fault: Fault) -> None:
         match fault.kind:
             case FaultKind.VM_REPLACED:
-                await self._async_replace(self._find(fault.number))
+                await self._async_replace(self._find_member(fault.number))
             case FaultKind.VM_LOST:
-                await self.fleet.async_kill(self._find(fault.number))
+                await self.fleet.async_kill(self._find_member(fault.number))
             case FaultKind.VM_BACK:
                 await self.fleet.async_add(self.addresses[fault.number])
             case _:
@@ -217,15 +227,15 @@
             case FaultKind.ENGINE_QUICK:
                 engine.first_ms, engine.event_ms = FIRST_MS, EVENT_MS
 
-    def _find(self, number: int) -> FleetMember:
+    def _find_member(self, number: int) -> FleetMember:
         address = self.addresses[number]
         return next(member for member in self.fleet.members if member.address == address)
 
     async def _async_replace(self, member: FleetMember) -> None:
-        """Stop a VM gracefully and start it again."""
-        entry = member.core.get(ENTRY)
-        entry.leave()
-        await entry.async_wait()
+        """Stop a VM gracefully and start a new one at its address."""
+        service = member.core.get(ENTRY)
+        service.leave()
+        await service.async_wait()
         await self.fleet.async_kill(member)
         await self.clock.async_sleep(REPLACE_MS)
         await self.fleet.async_add(member.address)
@@ -242,11 +252,11 @@
         }
 
 
-def _pick(members: Sequence[FleetMember], place: float) -> FleetMember:
-    return members[int(place * len(members))]
+def _choose_member(members: Sequence[FleetMember], entry: float) -> FleetMember:
+    return members[int(entry * len(members))]
 
 
-def _describe(responder: FakeResponder) -> str:
+def _classify(responder: FakeResponder) -> str:
     if responder.refusal is not None:
         return responder.refusal.code
     if responder.accepted:
@@ -255,7 +265,7 @@
 
 
 def measure(load: Load, seed: int, policy: Policy) -> Figures:
-    """Play a load once."""
+    """Run a load once with a policy in virtual time and return its figures."""
 
     async def async_run() -> Figures:
         play = Play(load, draw_record(load, seed), make_fleet(LoopClock()))
