--- a/standins/measure/overload_play.py
+++ b/standins/measure/overload_play.py
@@ -21,7 +21,7 @@
     Request,
     draw_record,
 )
-from standins.measure.overload_policies import Policy, play_by
+from standins.measure.overload_policies import Policy, apply_policy
 from standins.run_engines import RunEngine
 from standins.virtual_time import run_virtual
 
@@ -163,7 +163,7 @@
         asked = self.clock.now()
         self.figures.items += len(job.events)
         names = [f"{job.name}-{number}" for number in range(len(job.events))]
-        self.fleet.engines.events_of.update(zip(names, job.events, strict=True))
+        self.fleet.engines.events_by_request.update(zip(names, job.events, strict=True))
         lines = "\n".join(f"{name} {ITEM_TOKENS}" for name in names).encode()
         for place in job.entries:
             answer = await self._async_send(
@@ -265,5 +265,5 @@
         finally:
             await play.fleet.async_close()
 
-    with play_by(policy):
+    with apply_policy(policy):
         return run_virtual(async_run())
--- a/tests/components/batch/test_controllers.py
+++ b/tests/components/batch/test_controllers.py
@@ -61,11 +61,11 @@
     assert chunk.make_record([0, 1], "").states == "dc"
 
 
-def test_failure_told_by_a_lapsed_holder_does_not_count() -> None:
+def test_failure_reported_by_an_expired_holder_does_not_count() -> None:
     chunk = make_chunk()
     for _ in range(5):
         chunk.lease([0], "vm1", Millis(0))
-        chunk.lapse(Millis(20_000))
+        chunk.expire_leases(Millis(20_000))
         chunk.accept("vm1", ItemResult(0, FAILED, 0, b""), Millis(20_000))
     assert not chunk.finished and not chunk.tries
 
@@ -84,7 +84,7 @@
     assert [fact.key for fact in order.rank(chunks, 0)] == ["soon", "late", "other"]
 
 
-def test_absent_customer_saves_up_no_claim() -> None:
+def test_absent_customer_gains_no_share() -> None:
     order = FairScheduler()
     acme, back = ChunkFacts("a", "acme", 0, 1), ChunkFacts("b", "back", 0, 1)
     order.rank([acme], 0)
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize(
-    ("counts", "told"),
+    ("counts", "onsets"),
     [
         ([0, 2, 3, 4], 0),
         ([0, 3, 5, 6], 1),
@@ -135,7 +135,7 @@
         ([20, 28, 35], 1),
     ],
 )
-def test_onset_is_told_once_when_work_in_flight_grows(counts: list[int], told: int) -> None:
+def test_onset_is_detected_once_when_work_in_flight_grows(counts: list[int], onsets: int) -> None:
     clock = ManualClock()
     detector = OnsetDetector(clock)
     detector.observe(counts[0])
@@ -144,10 +144,10 @@
     for count in counts:
         answers.append(detector.observe(count))
         clock.advance(20)
-    assert sum(answers) == told
+    assert sum(answers) == onsets
 
 
-def test_burst_holds_batch_down_until_its_requests_have_gone() -> None:
+def test_burst_limits_batch_until_its_requests_have_ended() -> None:
     """Online work grows for a second, then ends; batch was cut at the onset.
 
     Rising during the burst, batch filled the slots that the next requests needed, was cut again
@@ -155,33 +155,33 @@
     the requests have gone and is back in one step.
     """
     clock = ManualClock()
-    hold = BurstLimiter(clock, BurstParameters(share=0.25, over_share=0.5, patience_ms=4000))
-    hold.begin(64, 12)
-    for told in (20, 30, 40, 45):
+    limiter = BurstLimiter(clock, BurstParameters(share=0.25, over_share=0.5, patience_ms=4000))
+    limiter.begin(64, 12)
+    for online in (20, 30, 40, 45):
         clock.advance(500)
-        hold.observe(told)
-        assert hold.bound == 16
-    hold.observe(23)
-    assert hold.is_on
-    hold.observe(22)
-    assert not hold.is_on
+        limiter.observe(online)
+        assert limiter.bound == 16
+    limiter.observe(23)
+    assert limiter.is_on
+    limiter.observe(22)
+    assert not limiter.is_on
 
 
 def test_batch_rises_again_in_a_burst_that_stays() -> None:
-    """Online work doubles for good; a hold without an end would starve batch for hours."""
+    """Online work doubles for good; a limit without an end would starve batch for hours."""
     clock = ManualClock()
-    hold = BurstLimiter(clock, BurstParameters(share=0.25, patience_ms=4000, rise_ms=500))
-    hold.begin(64, 12)
+    limiter = BurstLimiter(clock, BurstParameters(share=0.25, patience_ms=4000, rise_ms=500))
+    limiter.begin(64, 12)
     clock.advance(4000)
-    assert hold.bound == 16
+    assert limiter.bound == 16
     clock.advance(2000)
-    assert hold.bound == 20
+    assert limiter.bound == 20
 
 
-def test_old_report_of_a_burst_does_not_hold_batch_back() -> None:
+def test_old_report_of_a_burst_does_not_limit_batch() -> None:
     """A burst ends and a report from its height comes a second later.
 
-    Taken as the load of now, it kept batch at a few streams for a second after each burst.
+    Compared with the present load, it limited batch to a few streams after each burst for 1 s.
     """
     clock = ManualClock()
     allowance = AllowanceController(clock, AllowanceParameters())
@@ -200,8 +200,8 @@
     assert allowance.limit >= before - 4
 
 
-def test_lost_vm_does_not_hold_batch_back_for_good() -> None:
-    """A VM dies with requests in flight; nobody says that they ended."""
+def test_lost_vm_does_not_limit_batch_forever() -> None:
+    """A VM is lost with requests in flight and never reports their end."""
     clock = ManualClock()
     load = OnlineLoad(clock)
     assert (load.apply_report("dead", 30), load.apply_report("vm1", 2)) == (30, 32)
@@ -209,12 +209,12 @@
     assert load.apply_report("vm1", 2) == 2
 
 
-def test_requests_in_flight_are_told_when_they_change() -> None:
-    """Told at each request, the hints of a fleet at full size would exceed the control budget."""
+def test_requests_in_flight_are_reported_when_they_change() -> None:
+    """Reports at each request would exceed the control budget of a fleet at full size."""
     clock = ManualClock()
-    teller = OnlineLoadReporter(clock)
-    told = [teller.observe(UpstreamPressure(count, 0)) for count in (0, 1, 2, 3, 4, 3, 2)]
-    assert told == [False, False, True, False, True, False, True]
+    reporter = OnlineLoadReporter(clock)
+    is_reported = [reporter.observe(UpstreamPressure(count, 0)) for count in (0, 1, 2, 3, 4, 3, 2)]
+    assert is_reported == [False, False, True, False, True, False, True]
     clock.advance(5000)
-    assert teller.observe(UpstreamPressure(2, 0))
-    assert teller.observe(UpstreamPressure(2, 30)), "online work waits there"
+    assert reporter.observe(UpstreamPressure(2, 0))
+    assert reporter.observe(UpstreamPressure(2, 30)), "online work waits there"
--- a/tests/components/limits/test_slow_coordinator.py
+++ b/tests/components/limits/test_slow_coordinator.py
@@ -23,7 +23,7 @@
     """Let time pass while the running loop does nothing."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualTimeLoop)
-    loop.stand_still(duration_ms / 1000)
+    loop.pause(duration_ms / 1000)
 
 
 @pytest.mark.parametrize(
--- a/tests/golden/session.py
+++ b/tests/golden/session.py
@@ -1,4 +1,4 @@
-"""Drives real processes through one session and compares its transcript with a golden file."""
+"""Records the transcript of a session with real processes and compares it with a golden file."""
 
 import dataclasses
 import os
@@ -11,7 +11,7 @@
 import orjson
 
 from goldcreststair.const import HEADER_IDEMPOTENCY_KEY
-from standins.demo.fleet import Fleet, HttpAnswer, send_request
+from standins.demo.fleet import Fleet, HttpResponse, send_request
 
 GOLDEN: Final = Path(__file__).parent / "sessions"
 UPDATE: Final = "GOLDEN_UPDATE"
@@ -27,12 +27,12 @@
     ("time", re.compile(r'(?<=_at": )\d+|(?<=_at":)\d+|(?<=utc_s":)[\d.]+|(?<=taken_ms":)\d+')),
     ("port", re.compile(r'(?<=_port":)\d+')),
 )
-"""What differs from run to run: each kind of name is numbered by its first appearance."""
-UNNUMBERED: Final = ("time", "port")
+"""Texts that differ between runs; each kind is numbered in the order of first appearance."""
+UNNUMBERED_KINDS: Final = ("time", "port")
 
 
 class Session:
-    """One transcript; ids and addresses are numbered by their first appearance."""
+    """One transcript; ids and addresses are numbered in the order of first appearance."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -40,7 +40,7 @@
         self._names: dict[str, str] = {}
 
     def note(self, text: str) -> None:
-        """Add what happens outside of calls, as a fault being switched on."""
+        """Add an event other than a call, such as a fault that is applied."""
         self._add(f"-- {text}")
 
     def call(
@@ -51,7 +51,7 @@
         body: Any = None,
         headers: Mapping[str, str] | None = None,
         daemon: int = 0,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Send a request and add it and its answer to the transcript."""
         shown = "" if body is None else " " + _show(body)
         if HEADER_IDEMPOTENCY_KEY in (headers or {}):
@@ -62,7 +62,7 @@
         self.add_answer(who, answer)
         return answer
 
-    def add_answer(self, who: str, answer: HttpAnswer) -> None:
+    def add_answer(self, who: str, answer: HttpResponse) -> None:
         """Add an answer to the transcript."""
         self._add(f"{who} < {answer.status}")
         for name in SHOWN_HEADERS:
@@ -72,8 +72,8 @@
         for line in text.splitlines():
             self._add(f"    {line}".rstrip())
 
-    def add_cut_answer(self, who: str, answer: HttpAnswer) -> None:
-        """Add a streamed answer whose count of tokens may vary; they must be whole and in order."""
+    def add_cut_answer(self, who: str, answer: HttpResponse) -> None:
+        """Add a streamed answer of any number of tokens, which must be complete and in order."""
         text = KEEP_ALIVE.sub(b"", answer.body).decode()
         indices = [int(index) for index in TOKEN.findall(text)]
         assert indices == list(range(len(indices)))
@@ -96,7 +96,7 @@
         self._lines.append(line)
 
     def _name(self, kind: str, text: str) -> str:
-        if kind in UNNUMBERED:
+        if kind in UNNUMBERED_KINDS:
             return f"<{kind}>"
         if text not in self._names:
             number = 1 + sum(1 for name in self._names.values() if name.startswith(f"<{kind} "))
